--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -36,7 +36,7 @@
 
     __slots__ = (
         '_codec',
-        '_configurations',
+        '_configuration',
         '_revoke_seconds',
         '_clock',
         '_random',
@@ -47,13 +47,13 @@
         self,
         *,
         codec: codecs.Codec,
-        held: configurations.Configurations,
+        configuration: configurations.ActiveConfiguration,
         revoke_seconds: Callable[[], float],
         clock: Callable[[], float],
         random: random_module.Random,
     ) -> None:
         self._codec = codec
-        self._configurations = held
+        self._configuration = configuration
         self._revoke_seconds = revoke_seconds
         self._clock = clock
         self._random = random
@@ -67,7 +67,7 @@
     @property
     def version(self) -> int:
         """The configuration in force, 0 for none."""
-        return self._configurations.version
+        return self._configuration.version
 
     async def admit(self, exchange: inbound.Exchange) -> calls.Call | NotRun:
         """Return the call, its body read, or why it is refused."""
@@ -77,16 +77,14 @@
         except ValueError as error:
             return NotRun(reason=Reason.MALFORMED, detail=str(error))
         exchange.request = facts.attempt
-        config = self._configurations.current
+        config = self._configuration.current
         if config is None:
             return NotRun(
                 reason=Reason.NO_BUNDLE,
                 detail='no configuration is known yet',
                 retry_after=COME_BACK,
             )
-        route = self._configurations.routes.find(
-            host=head.host, path=head.path
-        )
+        route = self._configuration.routes.find(host=head.host, path=head.path)
         if route is None:
             return self._unknown(
                 Reason.UNKNOWN_ROUTE, 'no route has this host and path'
@@ -133,7 +131,7 @@
         facts: codecs.RequestFacts,
     ) -> deployment.Customer | NotRun | None:
         """Return whose key the request carries, ``None`` for nobody's."""
-        if not config.asks_keys:
+        if not config.requires_keys:
             return None
         customer = config.customers.get(facts.key) if facts.key else None
         trusted = self.trusts_keys()
@@ -169,7 +167,7 @@
 
     def version_age(self) -> float:
         """Return the seconds since our version was known to be the newest."""
-        return self._clock() - self._configurations.confirmed_at
+        return self._clock() - self._configuration.confirmed_at
 
 
 def _name_holder(
--- a/marigoldramp/gateway/attempts.py
+++ b/marigoldramp/gateway/attempts.py
@@ -147,7 +147,7 @@
     ) -> outbound.Connection | Unreached:
         longest = IDLE_REPEATABLE
         options = PROBES
-        if call.route.repeat is deployment.Repeat.FORBIDDEN:
+        if call.route.retry_policy is deployment.RetryPolicy.FORBIDDEN:
             longest = IDLE_UNREPEATABLE
             options = ()
         connection = self.pool.take_idle(
--- a/marigoldramp/gateway/configurations.py
+++ b/marigoldramp/gateway/configurations.py
@@ -35,7 +35,7 @@
         """
 
 
-class Configurations:
+class ActiveConfiguration:
     """The configuration in force; it is only ever replaced by a newer one.
 
     :ivar document: the operator's text of it.
--- a/marigoldramp/gateway/deployment.py
+++ b/marigoldramp/gateway/deployment.py
@@ -4,7 +4,7 @@
 import enum
 
 
-class Repeat(enum.Enum):
+class RetryPolicy(enum.Enum):
     """What may happen to a request whose outcome is unknown.
 
     :cvar ALLOWED: idempotent, so it may be sent again.
@@ -45,7 +45,7 @@
     host: str
     prefix: str
     targets: tuple[Target, ...]
-    repeat: Repeat
+    retry_policy: RetryPolicy
     attempts: int
     timeout: float
     objective: float
@@ -63,8 +63,8 @@
     :ivar step: one token step with no request.
     :ivar step_per_request: added to a step for each running request.
     :ivar prompt_rate: prompt tokens that are read in a second.
-    :ivar usual_prompt: mean tokens of a prompt.
-    :ivar usual_answer: mean tokens of an answer.
+    :ivar mean_prompt_tokens: mean length of a prompt.
+    :ivar mean_answer_tokens: mean length of an answer.
     :ivar layers: sets of experts with a map of their own.
     :ivar places: experts that a rank can hold in each layer.
     :ivar spare: new experts that a rank can copy in each layer.
@@ -78,8 +78,8 @@
     step: float
     step_per_request: float
     prompt_rate: float
-    usual_prompt: int
-    usual_answer: int
+    mean_prompt_tokens: int
+    mean_answer_tokens: int
     layers: int = 0
     experts: int = 0
     places: int = 0
@@ -132,7 +132,7 @@
     services: dict[str, Service]
     limits: Limits
     customers: dict[str, Customer]
-    asks_keys: bool
+    requires_keys: bool
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -35,7 +35,7 @@
 NotRun = outcomes.NotRun
 OutcomeUnknown = outcomes.OutcomeUnknown
 Reason = outcomes.Reason
-Repeat = deployment.Repeat
+RetryPolicy = deployment.RetryPolicy
 
 
 class Forwarder:
@@ -283,7 +283,7 @@
 
     def _may_run_again(self, call: calls.Call) -> bool:
         """Whether a call that may have run may run once more."""
-        if call.route.repeat is Repeat.FORBIDDEN:
+        if call.route.retry_policy is RetryPolicy.FORBIDDEN:
             return False
         return call.runs < call.route.attempts
 
--- a/marigoldramp/gateway/gossip.py
+++ b/marigoldramp/gateway/gossip.py
@@ -10,9 +10,9 @@
 
 from .. import logs
 from . import outbound
-from . import peer_periods
 from . import peer_reports
 from . import peers
+from . import report_intervals
 
 #: Seconds between two tries of an address where nobody is heard.
 UNHEARD_PERIOD = 1.0
@@ -133,15 +133,18 @@
             with anyio.move_on_after(min(periods.near, periods.remote)):
                 await self._wake.wait()
 
-    def _find_periods(self, leads: bool) -> peer_periods.Periods:
+    def _find_periods(self, leads: bool) -> report_intervals.ReportIntervals:
         live = self._table.live()
         near = sum(self._table.is_near(peer) for peer in live)
-        return peer_periods.find_periods(
+        return report_intervals.compute_intervals(
             near=near, remote=len(live) - near, leads=leads
         )
 
     async def _send_if_due(
-        self, peer: peers.Peer, periods: peer_periods.Periods, now: float
+        self,
+        peer: peers.Peer,
+        periods: report_intervals.ReportIntervals,
+        now: float,
     ) -> None:
         """Send a report by the time that the last one has promised."""
         due = self._due.get(peer.instance)
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -49,7 +49,7 @@
     """
 
     __slots__ = (
-        '_configurations',
+        '_configuration',
         '_follower',
         '_describe',
         '_list_suspects',
@@ -59,13 +59,13 @@
     def __init__(
         self,
         *,
-        held: configurations.Configurations,
+        configuration: configurations.ActiveConfiguration,
         follower: discovery.Follower,
         describe: Callable[[], status_module.Status],
         list_suspects: Callable[[], suspect_exchange.SuspectList],
         release: Callable[[str], bool],
     ) -> None:
-        self._configurations = held
+        self._configuration = configuration
         self._follower = follower
         self._describe = describe
         self._list_suspects = list_suspects
@@ -76,8 +76,8 @@
         status = 200
         body = b''
         path = exchange.head.path
-        if path == CONFIGURATION_PATH and self._configurations.document:
-            body = self._configurations.document
+        if path == CONFIGURATION_PATH and self._configuration.document:
+            body = self._configuration.document
         elif path == ENDPOINTS_PATH and self._follower.listed:
             listing = self._follower.listing()
             body = msgspec.json.encode(
--- a/marigoldramp/gateway/peer_roster.py
+++ b/marigoldramp/gateway/peer_registry.py
@@ -17,13 +17,13 @@
 
 KIND = 'marigoldramp-entries'
 #: Seconds between two tries while the store does not answer.
-RETRY_AFTER = 1.0
+RETRY_INTERVAL_SECONDS = 1.0
 #: Seconds between two looks at the list: entries that started while the
 #: store was away for one of them would else not find each other.
 LOOK_EVERY = 60.0
 #: Seconds over which entries look whether a restore of the store has left them
 #: their rows; one that starts next finds the others by these.
-RESTORED_SPREAD = 1.5
+MAX_REWRITE_DELAY_SECONDS = 1.5
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
@@ -33,7 +33,7 @@
     port: int
 
 
-class Roster:
+class PeerRegistry:
     """Our row, and the rows of others.
 
     :param random: spreads what all entries do at the same event.
@@ -67,7 +67,9 @@
     async def run(self) -> None:
         """Keep our row right and learn of others until cancelled."""
         while True:
-            seconds = LOOK_EVERY if await self._look() else RETRY_AFTER
+            seconds = (
+                LOOK_EVERY if await self._look() else RETRY_INTERVAL_SECONDS
+            )
             with anyio.move_on_after(seconds):
                 await self._watch_restores()
 
@@ -80,9 +82,11 @@
         while True:
             await self._restored.wait()
             self._restored = anyio.Event()
-            await anyio.sleep(self._random.uniform(0.0, RESTORED_SPREAD))
+            await anyio.sleep(
+                self._random.uniform(0.0, MAX_REWRITE_DELAY_SECONDS)
+            )
             while not await self._make_sure():
-                await anyio.sleep(RETRY_AFTER)
+                await anyio.sleep(RETRY_INTERVAL_SECONDS)
 
     async def _make_sure(self) -> bool:
         """Write our row if it is not there; whether it is now."""
--- a/marigoldramp/gateway/peers.py
+++ b/marigoldramp/gateway/peers.py
@@ -9,8 +9,8 @@
 
 from .. import logs
 from . import outbound
-from . import peer_periods
 from . import peer_reports
+from . import report_intervals
 
 #: Longest period of a peer on whose word we wait before we ask the store.
 PROMPT_PERIOD = 0.3
@@ -358,7 +358,7 @@
     def _period(self, peer: Peer) -> float:
         """Return how often a peer reports to us, by its own word."""
         period = 0.0 if peer.report is None else peer.report.period
-        return period or peer_periods.PERIOD
+        return period or report_intervals.PERIOD
 
     def _count(self, peer: Peer, sign: int) -> None:
         """Add or take away what a peer has in flight."""
--- a/marigoldramp/gateway/upkeep.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -45,7 +45,7 @@
     containment: containment_module.Containment
 
 
-class Upkeep:
+class PeriodicTasks:
     """Keeps one process in order.
 
     :param read_settings: reads the settings anew.
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -30,9 +30,10 @@
 from . import listings
 from . import outbound
 from . import peer_exchange
+from . import peer_registry
 from . import peer_reports
-from . import peer_roster
 from . import peers
+from . import periodic_tasks
 from . import presence
 from . import refresh
 from . import reporting
@@ -41,7 +42,6 @@
 from . import status
 from . import stopping
 from . import suspect_keeper
-from . import upkeep
 
 #: Descriptors that are left for everything but callers.
 SPARE_DESCRIPTORS = 600
@@ -77,7 +77,7 @@
         self._listeners: list[listeners.Listener] = []
         self._connections: set[inbound.Connection] = set()
         self._pages = adapter.make_pages(self)
-        self.configurations = configurations.Configurations(
+        self.active_configuration = configurations.ActiveConfiguration(
             source=adapter.configuration
         )
         self.table = endpoints.EndpointTable(
@@ -100,12 +100,12 @@
             random=random,
             engine=self._engine,
             accepted=lambda service: (
-                self.configurations.routes.accepted_pause(service)
+                self.active_configuration.routes.accepted_pause(service)
             ),
         )
         self.admission = admission.Admission(
             codec=adapter.codec,
-            held=self.configurations,
+            configuration=self.active_configuration,
             revoke_seconds=lambda: self.settings.bounds.revoke,
             clock=clock,
             random=random,
@@ -168,7 +168,7 @@
             position=self._place_among_peers,
         )
         self.refresher = refresh.Refresher(
-            held=self.configurations,
+            configuration=self.active_configuration,
             source=adapter.configuration,
             from_peers=self._peer_source.fetch_configuration,
             clock=clock,
@@ -188,8 +188,8 @@
             clock=clock,
             random=random,
         )
-        self.configurations.on_change(self._tell_peers)
-        self._roster = peer_roster.Roster(
+        self.active_configuration.on_change(self._tell_peers)
+        self._registry = peer_registry.PeerRegistry(
             store=adapter.store,
             table=self.peers,
             instance=settings.instance,
@@ -222,7 +222,7 @@
             clock=clock,
         )
         parts = reporting.Parts(
-            configurations=self.configurations,
+            active_configuration=self.active_configuration,
             refresher=self.refresher,
             follower=self.follower,
             table=self.table,
@@ -249,8 +249,8 @@
             running=lambda: self.forwarder.running,
             clock=clock,
         )
-        self._upkeep = upkeep.Upkeep(
-            parts=upkeep.Parts(
+        self._periodic_tasks = periodic_tasks.PeriodicTasks(
+            parts=periodic_tasks.Parts(
                 table=self.table,
                 peers=self.peers,
                 pool=self.pool,
@@ -270,14 +270,16 @@
     @property
     def settings(self) -> settings_module.Settings:
         """The settings in force."""
-        return self._upkeep.settings
+        return self._periodic_tasks.settings
 
     def _show_gauges(self) -> None:
         """Show on the metrics page what the process believes."""
         gauge = self._metrics.gauge
         gauge('ready', lambda: float(self.is_ready()))
         gauge('running_requests', lambda: float(self.forwarder.running))
-        gauge('configuration_version', lambda: self.configurations.version)
+        gauge(
+            'configuration_version', lambda: self.active_configuration.version
+        )
         gauge('configuration_age_seconds', self.admission.version_age)
         gauge('live_peers', lambda: float(len(self.peers.live())))
         gauge('known_endpoints', lambda: float(len(self.table)))
@@ -289,10 +291,10 @@
         """Whether callers may be sent here."""
         if self.leaving or not self.follower.listed:
             return False
-        config = self.configurations.current
+        config = self.active_configuration.current
         if config is None:
             return False
-        return not config.asks_keys or self.admission.trusts_keys()
+        return not config.requires_keys or self.admission.trusts_keys()
 
     def ready_addresses(self) -> list[outbound.Address]:
         """Return where callers can connect, here and at peers."""
@@ -348,11 +350,11 @@
             ),
         )
         tasks.start_soon(self._stop)
-        self._upkeep.start(tasks)
+        self._periodic_tasks.start(tasks)
         tasks.start_soon(self.gossip.run, self.settings.peers)
         tasks.start_soon(self.refresher.run)
         tasks.start_soon(self.follower.run)
-        tasks.start_soon(self._roster.run)
+        tasks.start_soon(self._registry.run)
         tasks.start_soon(self.leading.run)
         tasks.start_soon(self.containment.exchange.run)
         tasks.start_soon(self._keeper.run)
@@ -361,7 +363,7 @@
         settings = self.settings
         most = max(64, settings.descriptors - SPARE_DESCRIPTORS)
         pages = peer_exchange.PeerPages(
-            held=self.configurations,
+            configuration=self.active_configuration,
             follower=self.follower,
             describe=self.describer.describe,
             list_suspects=self.containment.exchange.list_all,
@@ -431,12 +433,12 @@
         )
 
     def _limits(self) -> deployment.Limits:
-        config = self.configurations.current
+        config = self.active_configuration.current
         return inbound.UNKNOWN_LIMITS if config is None else config.limits
 
     def _services(self) -> tuple[deployment.Service, ...]:
         """Return the services whose groups may be led."""
-        config = self.configurations.current
+        config = self.active_configuration.current
         if config is None:
             return ()
         return tuple(config.services.values())
@@ -454,7 +456,7 @@
             )
 
     def _engine(self, service: str) -> deployment.Engine | None:
-        config = self.configurations.current
+        config = self.active_configuration.current
         known = None if config is None else config.services.get(service)
         return None if known is None else known.engine
 
@@ -498,7 +500,7 @@
     def _note_restore(self) -> None:
         """Act on a store that has come back from an older copy."""
         self.follower.note_restore()
-        self._roster.note_restore()
+        self._registry.note_restore()
         self._keeper.note_restore()
 
     def begin_stop(self) -> None:
--- a/marigoldramp/gateway/refresh.py
+++ b/marigoldramp/gateway/refresh.py
@@ -45,7 +45,7 @@
 
     __slots__ = (
         '_restored_at',
-        '_configurations',
+        '_configuration',
         '_source',
         '_from_peers',
         '_clock',
@@ -59,7 +59,7 @@
     def __init__(
         self,
         *,
-        held: configurations.Configurations,
+        configuration: configurations.ActiveConfiguration,
         source: configurations.ConfigurationSource,
         from_peers: FromPeers,
         clock: Callable[[], float],
@@ -67,7 +67,7 @@
         restored_at: Callable[[], float] = lambda: float('-inf'),
     ) -> None:
         self._restored_at = restored_at
-        self._configurations = held
+        self._configuration = configuration
         self._source = source
         self._from_peers = from_peers
         self._clock = clock
@@ -81,7 +81,7 @@
 
     def hear(self, version: int) -> None:
         """Learn that a peer has a version in force."""
-        if version > max(self._heard, self._configurations.version):
+        if version > max(self._heard, self._configuration.version):
             self._heard = version
             self._wake.set()
 
@@ -98,27 +98,27 @@
         now = self._clock()
         if now < self._not_before:
             return False
-        if self._heard > self._configurations.version:
+        if self._heard > self._configuration.version:
             return True
         patience = READ_AFTER + LATER_EACH * self._position()
-        age = now - self._configurations.confirmed_at
+        age = now - self._configuration.confirmed_at
         return age > min(READ_LATEST, patience)
 
     async def _refresh(self) -> None:
-        if self._heard > self._configurations.version:
+        if self._heard > self._configuration.version:
             # A peer that shows a newer version has it whole, at no price.
             await self._ask_peers()
-        if self._heard <= self._configurations.version and self._is_fresh():
+        if self._heard <= self._configuration.version and self._is_fresh():
             return
         asked_at = self._clock()
         found = await self._source.fetch()
         match found:
             case bytes():
                 self.store.note_answer()
-                self._configurations.take(
+                self._configuration.take(
                     found, newest_at=self._date_read(asked_at)
                 )
-                if self._configurations.confirmed_at < asked_at:
+                if self._configuration.confirmed_at < asked_at:
                     # An older copy; all entries wait for the newer one.
                     self._pause()
             case store.Absent():
@@ -146,7 +146,7 @@
         return asked_at
 
     def _is_fresh(self) -> bool:
-        age = self._clock() - self._configurations.confirmed_at
+        age = self._clock() - self._configuration.confirmed_at
         return age < READ_AFTER
 
     async def _ask_peers(self) -> None:
@@ -157,4 +157,4 @@
         """
         document = await self._from_peers(self._heard)
         if document is not None:
-            self._configurations.take(document, newest_at=float('-inf'))
+            self._configuration.take(document, newest_at=float('-inf'))
--- a/marigoldramp/gateway/peer_periods.py
+++ b/marigoldramp/gateway/report_intervals.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Periods:
+class ReportIntervals:
     """Seconds between two reports of an entry to each of its peers.
 
     :ivar near: to those in its own data centre.
@@ -28,7 +28,9 @@
     remote: float
 
 
-def find_periods(*, near: int, remote: int, leads: bool) -> Periods:
+def compute_intervals(
+    *, near: int, remote: int, leads: bool
+) -> ReportIntervals:
     """Return how often an entry reports to its peers.
 
     :param near: how many peers are in its own data centre.
@@ -37,8 +39,8 @@
     """
     if leads:
         period = _stretch(near + remote, PEERS_A_PERIOD_OF_LEADER)
-        return Periods(near=period, remote=period)
-    return Periods(
+        return ReportIntervals(near=period, remote=period)
+    return ReportIntervals(
         near=_stretch(near, PEERS_A_PERIOD),
         remote=_stretch(remote, REMOTE_PEERS_A_PERIOD),
     )
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -30,7 +30,7 @@
 class Parts:
     """The parts of a process that reports tell of, and change."""
 
-    configurations: configurations.Configurations
+    active_configuration: configurations.ActiveConfiguration
     refresher: refresh.Refresher
     follower: discovery.Follower
     table: endpoints.EndpointTable
@@ -143,8 +143,8 @@
             leaving=self._leaving(),
             call_host='' if calls is None else calls.host,
             call_port=0 if calls is None else calls.port,
-            version=parts.configurations.version,
-            version_age=_age(now, parts.configurations.confirmed_at),
+            version=parts.active_configuration.version,
+            version_age=_age(now, parts.active_configuration.confirmed_at),
             revision=parts.follower.change_revision,
             revision_age=_age(now, parts.follower.store.reached_at),
             settled=parts.follower.told_settled(),
@@ -181,7 +181,7 @@
         if report.version_age < 0.0 or not report.echo:
             return
         if report.echo_incarnation == self._incarnation:
-            self._parts.configurations.confirm(
+            self._parts.active_configuration.confirm(
                 version=report.version,
                 newest_at=report.echo - report.version_age,
             )
--- a/marigoldramp/platform/configuration.py
+++ b/marigoldramp/platform/configuration.py
@@ -210,7 +210,7 @@
             for customer in found.customers or ()
             for key in customer.keys
         },
-        asks_keys=found.customers is not None,
+        requires_keys=found.customers is not None,
     )
 
 
@@ -220,7 +220,7 @@
         host=route.host,
         prefix=route.prefix,
         targets=_build_targets(route),
-        repeat=_read_repeat(route),
+        retry_policy=_read_repeat(route),
         attempts=max(1, route.attempts),
         timeout=route.timeout_ms / MILLISECONDS,
         objective=route.objective_ms / MILLISECONDS,
@@ -240,12 +240,12 @@
     return (deployment.Target(service=route.service, weight=1.0),)
 
 
-def _read_repeat(route: _Route) -> deployment.Repeat:
+def _read_repeat(route: _Route) -> deployment.RetryPolicy:
     if route.kind == _IDEMPOTENT:
-        return deployment.Repeat.ALLOWED
+        return deployment.RetryPolicy.ALLOWED
     if route.kind == _STREAMING and route.resumable:
-        return deployment.Repeat.RESUMED
-    return deployment.Repeat.FORBIDDEN
+        return deployment.RetryPolicy.RESUMED
+    return deployment.RetryPolicy.FORBIDDEN
 
 
 def _build_service(service: _Service) -> deployment.Service:
@@ -263,8 +263,8 @@
         step=engine.step_ms / MILLISECONDS,
         step_per_request=engine.per_request_ms / MILLISECONDS,
         prompt_rate=engine.prompt_rate,
-        usual_prompt=int(engine.usual.prompt),
-        usual_answer=int(engine.usual.answer),
+        mean_prompt_tokens=int(engine.usual.prompt),
+        mean_answer_tokens=int(engine.usual.answer),
         layers=engine.layers,
         experts=engine.experts,
         places=engine.places,
--- a/tests/adapter/test_platform.py
+++ b/tests/adapter/test_platform.py
@@ -147,18 +147,19 @@
 
 
 @pytest.mark.parametrize(
-    ('more', 'repeat'),
+    ('more', 'policy'),
     [
-        ({'RouteKind': 'idempotent'}, deployment.Repeat.ALLOWED),
-        ({'RouteKind': 'non_idempotent'}, deployment.Repeat.FORBIDDEN),
-        ({'RouteKind': 'streaming'}, deployment.Repeat.RESUMED),
-        ({'StreamResume': False}, deployment.Repeat.FORBIDDEN),
-        ({'RouteKind': 'unheard-of'}, deployment.Repeat.FORBIDDEN),
+        ({'RouteKind': 'idempotent'}, deployment.RetryPolicy.ALLOWED),
+        ({'RouteKind': 'non_idempotent'}, deployment.RetryPolicy.FORBIDDEN),
+        ({'RouteKind': 'streaming'}, deployment.RetryPolicy.RESUMED),
+        ({'StreamResume': False}, deployment.RetryPolicy.FORBIDDEN),
+        ({'RouteKind': 'unheard-of'}, deployment.RetryPolicy.FORBIDDEN),
     ],
 )
-def test_what_may_be_repeated(more, repeat):
-    assert configuration.decode(make_document(**more)).routes[0].repeat is (
-        repeat
+def test_what_may_be_repeated(more, policy):
+    assert (
+        configuration.decode(make_document(**more)).routes[0].retry_policy
+        is policy
     )
 
 
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -152,8 +152,8 @@
         self._scopes[instance] = scope
         await self._tasks.start(self._run_entry, instance, scope)
         entry = self.entries[instance]
-        await entry.until(lambda: entry.running.call_port)
-        await entry.until(entry.running.is_ready)
+        await entry.until(lambda: entry.gateway.call_port)
+        await entry.until(entry.gateway.is_ready)
 
     async def kill_entry(self, instance):
         """End a gateway at once; it keeps nothing."""
@@ -181,7 +181,7 @@
 
     async def exchange(self):
         """Wait until each gateway has heard each other one it can hear."""
-        since = next(iter(self.entries.values())).running._clock()
+        since = next(iter(self.entries.values())).gateway._clock()
         for instance, entry in self.entries.items():
             for other in self.entries:
                 if other == instance or self.cut & {instance, other}:
@@ -192,7 +192,7 @@
 
     async def until(self, condition):
         """Wait until something holds."""
-        with anyio.fail_after(site.PATIENCE):
+        with anyio.fail_after(site.TIMEOUT_SECONDS):
             while not condition():
                 await anyio.sleep(0.005)
 
@@ -219,10 +219,10 @@
         """Show a gateway the endpoints that there are."""
         records = [site.make_record(one) for one in self.endpoints]
         known = {record.identity for record in records}
-        removed = {one.identity for one in entry.running.table} - known
+        removed = {one.identity for one in entry.gateway.table} - known
         entry.endpoints.records = records
         entry.endpoints.revision = self._revision
-        entry.running.follower.take_changes(
+        entry.gateway.follower.take_changes(
             listings.Changes(
                 records=tuple(records),
                 removed=tuple(removed),
@@ -259,7 +259,7 @@
 
 def heard(entry, other, since):
     """Whether a gateway has a report that another made after a time."""
-    for peer in entry.running.peers:
+    for peer in entry.gateway.peers:
         if peer.instance == other and peer.report is not None:
             return peer.report.sent > since
     return False
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -24,7 +24,7 @@
 HOST = '127.0.0.1'
 ANY = settings.Address(host=HOST, port=0)
 NAME = 'notes.example'
-PATIENCE = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class FakeStore(store.PlatformStore):
@@ -148,7 +148,7 @@
         host=NAME,
         prefix='/notes/',
         targets=(deployment.Target(service='notes', weight=1.0),),
-        repeat=deployment.Repeat.ALLOWED,
+        retry_policy=deployment.RetryPolicy.ALLOWED,
         attempts=2,
         timeout=5.0,
         objective=0.4,
@@ -170,7 +170,7 @@
         services={'notes': deployment.Service(name='notes', connections=100)},
         limits=deployment.Limits(**(bounds | limits)),
         customers=customers or {},
-        asks_keys=customers is not None,
+        requires_keys=customers is not None,
     )
 
 
@@ -245,14 +245,14 @@
 class Site:
     """One gateway and what surrounds it."""
 
-    running: program.Program
+    gateway: program.Program
     configuration: FakeConfigurations
     endpoints: FakeEndpoints
     store: FakeStore
 
     async def until(self, condition):
         """Wait until something holds."""
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             while not condition():
                 await anyio.sleep(0.005)
 
@@ -273,9 +273,9 @@
                 process=make_settings(**more),
             )
         )
-        await site.until(lambda: site.running.call_port)
+        await site.until(lambda: site.gateway.call_port)
         if ready:
-            await site.until(site.running.is_ready)
+            await site.until(site.gateway.is_ready)
         yield site
 
 
@@ -301,7 +301,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(running.run)
         yield Site(
-            running=running,
+            gateway=running,
             configuration=config,
             endpoints=found,
             store=objects,
@@ -313,19 +313,19 @@
 class Got:
     """An answer as a caller got it.
 
-    :ivar whole: it came to its proper end.
+    :ivar complete: it came to its proper end.
     """
 
     status: int
     headers: dict
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @contextlib.asynccontextmanager
 async def connect(site):
     """Open a caller's connection."""
-    stream = await anyio.connect_tcp(HOST, site.running.call_port)
+    stream = await anyio.connect_tcp(HOST, site.gateway.call_port)
     async with stream:
         yield stream
 
@@ -338,9 +338,9 @@
             h11.Request(method=method, target='/', headers=[('host', 'x')])
         )
         connection.send(h11.EndOfMessage())
-    got = Got(status=0, headers={}, body=b'', whole=False)
+    got = Got(status=0, headers={}, body=b'', complete=False)
     try:
-        with anyio.fail_after(PATIENCE):
+        with anyio.fail_after(TIMEOUT_SECONDS):
             while True:
                 event = connection.next_event()
                 if event is h11.NEED_DATA:
@@ -358,7 +358,7 @@
                 elif isinstance(event, h11.Data):
                     got.body += event.data
                 elif isinstance(event, h11.EndOfMessage):
-                    got.whole = True
+                    got.complete = True
                     return got
                 elif isinstance(event, h11.ConnectionClosed):
                     return got
@@ -392,8 +392,8 @@
 
 
 FORBIDDEN = functools.partial(
-    make_route, repeat=deployment.Repeat.FORBIDDEN, attempts=1
+    make_route, retry_policy=deployment.RetryPolicy.FORBIDDEN, attempts=1
 )
 RESUMED = functools.partial(
-    make_route, repeat=deployment.Repeat.RESUMED, streams=True
+    make_route, retry_policy=deployment.RetryPolicy.RESUMED, streams=True
 )
--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -195,7 +195,7 @@
         await fleet.exchange()
         await fleet.kill_entry('entry-1')
         await fleet.start_entry('entry-1')
-        known = fleet.entries['entry-1'].running.containment.suspects
+        known = fleet.entries['entry-1'].gateway.containment.suspects
         await fleet.until(known.list_blocked)
         got = await fleet.call('entry-1', '/safe/1', CONTENT)
         assert got.status == 503
@@ -219,7 +219,7 @@
             await fleet.kill_entry(entry)
         for entry in ENTRIES:
             await fleet.start_entry(entry)
-            known = fleet.entries[entry].running.containment.suspects
+            known = fleet.entries[entry].gateway.containment.suspects
             await fleet.until(known.list_blocked)
             got = await fleet.call(entry, '/safe/1', CONTENT)
             assert got.status == 503
@@ -236,7 +236,7 @@
     Cause: only new requests were looked at.
     """
     async with fleets.run_fleet(monkeypatch, entries=1, endpoints=1) as fleet:
-        entry = fleet.entries['entry-0'].running
+        entry = fleet.entries['entry-0'].gateway
         answers = []
 
         async def copy():
@@ -288,8 +288,8 @@
             await site.call(running, 'POST', body=b'x')
         one.scripts = [fake.answer()]
         await running.until(
-            lambda: running.running.table.find('i-1').is_open(
-                now=running.running._clock()
+            lambda: running.gateway.table.find('i-1').is_open(
+                now=running.gateway._clock()
             )
         )
         got = await site.call(running, 'POST', body=b'x')
--- a/tests/gateway/test_endpoint_signals.py
+++ b/tests/gateway/test_endpoint_signals.py
@@ -48,7 +48,7 @@
     async with site.run_site(declining, healthy) as running:
         while not declining.seen:
             await site.call(running, attempt='a7')
-        endpoint = running.running.table.find('i-1')
+        endpoint = running.gateway.table.find('i-1')
         left = endpoint.backoff_until - ages.read_clock()
     assert 0.0 < left <= 2.5
     fields = lines('endpoint asked for backoff')[0]
@@ -150,9 +150,9 @@
         anyio.create_task_group() as calls,
     ):
         record = site.make_record(leaving, born=5)
-        presence = running.running.follower.presence
+        presence = running.gateway.follower.presence
         presence.put_written(record)
-        endpoint = running.running.table.find('i-1')
+        endpoint = running.gateway.table.find('i-1')
         while not leaving.seen:
             calls.start_soon(call_many, running, 1)
             await anyio.sleep(0.01)
@@ -180,7 +180,7 @@
     ]
     config = site.make_configuration(site.FORBIDDEN(timeout=0.5))
     async with site.run_site(*declining, configuration=config) as running:
-        gate = running.running.dispatcher.gate('notes')
+        gate = running.gateway.dispatcher.gate('notes')
         await site.call(running, 'POST', body=b'x')
         assert sum(bool(one.seen) for one in declining) >= 3
         assert gate.is_shut == is_shut
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -36,7 +36,7 @@
             body=body,
             more='X-Extra: 5\r\nTime-Budget-Ms: 900\r\nTenant: forged\r\n',
         )
-    assert (got.status, got.body, got.whole) == (200, b'fine', True)
+    assert (got.status, got.body, got.complete) == (200, b'fine', True)
     assert got.headers['runner-seal'] == 's.1'
     assert got.headers['x-own'] == '7'
     seen = one.seen[0]
@@ -108,7 +108,7 @@
     two = make('i-2', fake.answer(b'ran'))
     config = site.make_configuration(site.FORBIDDEN())
     async with site.run_site(one, two, configuration=config) as running:
-        table = running.running.table
+        table = running.gateway.table
         table.put(site.make_record(one, port=1))
         for _ in range(4):
             got = await site.call(running, 'POST', body=b'x')
@@ -146,7 +146,7 @@
     async with site.run_site(one, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
     assert got.status == status
-    assert got.whole
+    assert got.complete
 
 
 async def test_answer_that_comes_twice_reaches_nobody_else():
@@ -198,11 +198,11 @@
         async with site.connect(running) as stream:
             await site.send_request(stream)
             await one.arrived.wait()
-        with anyio.fail_after(site.PATIENCE):
+        with anyio.fail_after(site.TIMEOUT_SECONDS):
             await one.closed.wait()
-        forwarder = running.running.forwarder
+        forwarder = running.gateway.forwarder
         await running.until(lambda: forwarder.running == 0)
-        assert running.running.table.find('i-1').own == 0
+        assert running.gateway.table.find('i-1').own == 0
 
 
 def resume(seen):
@@ -233,7 +233,7 @@
             one.scripts = list(scripts)
             got = await site.call(running, 'POST', body=b'x', attempt='a2')
     assert got.body == b''.join(fake.event(one) for one in range(1, 7))
-    assert got.whole
+    assert got.complete
 
 
 @pytest.mark.parametrize(
@@ -247,7 +247,7 @@
     async with site.run_site(one, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
     assert got.body == b''.join(fake.event(one) for one in range(1, 4))
-    assert got.whole is whole
+    assert got.complete is whole
 
 
 async def test_events_arrive_one_by_one():
@@ -290,14 +290,14 @@
     one = make('i-1', slow)
     config = site.make_configuration(site.make_route(timeout=1.0))
     async with site.run_site(one, configuration=config) as running:
-        running.running.table.put(site.make_record(one, slots=1))
+        running.gateway.table.put(site.make_record(one, slots=1))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(site.call, running)
             await one.arrived.wait()
-            waiting = running.running.dispatcher
+            waiting = running.gateway.dispatcher
             tasks.start_soon(site.call, running)
             await running.until(lambda: waiting.waiting('notes') == 1)
-            running.running.follower.take_changes(
+            running.gateway.follower.take_changes(
                 site.listings.Changes(
                     records=(site.make_record(one, leaving=True),),
                     removed=(),
@@ -335,8 +335,8 @@
     )
     async with site.run_site(one, configuration=config) as running:
         running.configuration.away = True
-        held = running.running.configurations
-        held.confirmed_at = running.running._clock() - age
+        held = running.gateway.active_configuration
+        held.confirmed_at = running.gateway._clock() - age
         more = f'Authorization: Bearer {key}\r\n' if key else ''
         got = await site.call(running, more=more + 'Tenant: forged\r\n')
     assert got.status == status
@@ -351,7 +351,7 @@
     async with site.run_site(one) as running:
         assert (await site.call(running, path='/other/')).status == 404
         assert (await site.call(running, host='other')).status == 404
-        running.running.configurations.current = None
+        running.gateway.active_configuration.current = None
         assert (await site.call(running)).status == 503
     assert not one.seen
 
@@ -373,8 +373,8 @@
         async with site.connect(running) as stream:
             await site.send_request(stream)
             await one.arrived.wait()
-            running.running.begin_stop()
-            assert not running.running.is_ready()
+            running.gateway.begin_stop()
+            assert not running.gateway.is_ready()
             release.set()
             got = await site.read_answer(stream)
     assert (got.status, got.body) == (200, b'late')
@@ -406,13 +406,13 @@
     statuses = []
 
     async with site.run_site(*fakes, configuration=config) as running:
-        gate = running.running.dispatcher.gate('notes')
+        gate = running.gateway.dispatcher.gate('notes')
 
         async def run(number):
             got = await site.call(
                 running, 'POST', body=b'x', attempt=f'a{number}'
             )
-            statuses.append((got.status, got.whole, got.body))
+            statuses.append((got.status, got.complete, got.body))
 
         async with anyio.create_task_group() as tasks:
             for number in range(8):
@@ -459,8 +459,8 @@
     one = make('i-1', fake.answer())
     async with site.run_site(one) as running:
         await site.call(running)
-        await running.until(lambda: running.running.forwarder.running == 0)
-        page = running.running._metrics.render().decode()
+        await running.until(lambda: running.gateway.forwarder.running == 0)
+        page = running.gateway._metrics.render().decode()
     assert 'marigoldramp_requests_total{outcome="served",route="r"} 1' in page
     assert 'marigoldramp_request_seconds_count{outcome="served"} 1' in page
     assert 'marigoldramp_configuration_version 1' in page
--- a/tests/gateway/test_beliefs.py
+++ b/tests/gateway/test_gateway_state.py
@@ -15,11 +15,11 @@
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import event_frames
 from marigoldramp.gateway import listings
-from marigoldramp.gateway import peer_periods
 from marigoldramp.gateway import peer_reports
 from marigoldramp.gateway import peers
 from marigoldramp.gateway import presence
 from marigoldramp.gateway import refresh
+from marigoldramp.gateway import report_intervals
 from marigoldramp.gateway import retry_budget
 from marigoldramp.gateway import routes
 
@@ -170,7 +170,7 @@
     strategies.lists(strategies.integers(1, 9), min_size=1, max_size=20)
 )
 def test_configuration_never_goes_back(versions):
-    held = configurations.Configurations(source=Source())
+    held = configurations.ActiveConfiguration(source=Source())
     highest = 0
     for number, version in enumerate(versions):
         held.take(b'%d' % version, newest_at=float(number))
@@ -183,7 +183,7 @@
     [(2, 5.0, 5.0), (2, 0.5, 1.0), (1, 5.0, 1.0), (3, 5.0, 1.0)],
 )
 def test_only_the_version_in_force_is_confirmed(version, at, expected):
-    held = configurations.Configurations(source=Source())
+    held = configurations.ActiveConfiguration(source=Source())
     held.take(b'2', newest_at=1.0)
     held.confirm(version=version, newest_at=at)
     assert held.confirmed_at == expected
@@ -196,14 +196,14 @@
     say since when it is the newest.
     Cause: the time of the last confirmation forgotten.
     """
-    held = configurations.Configurations(source=Source())
+    held = configurations.ActiveConfiguration(source=Source())
     held.take(b'2', newest_at=5.0)
     held.take(b'3', newest_at=float('-inf'))
     assert (held.version, held.confirmed_at) == (3, 5.0)
 
 
 def test_document_that_cannot_be_read_changes_nothing():
-    held = configurations.Configurations(source=Source())
+    held = configurations.ActiveConfiguration(source=Source())
     held.take(b'2', newest_at=1.0)
     assert not held.take(b'broken', newest_at=2.0)
     assert (held.version, held.confirmed_at) == (2, 1.0)
@@ -212,7 +212,7 @@
 async def test_entries_read_the_store_in_turn_when_they_hear_peers():
     source = site.FakeConfigurations()
     source.current = site.make_configuration()
-    held = configurations.Configurations(source=source)
+    held = configurations.ActiveConfiguration(source=source)
     refresher = make_refresher(held, source)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(refresher.run)
@@ -232,7 +232,7 @@
 async def test_newer_version_is_taken_from_a_peer_while_the_store_is_away():
     source = site.FakeConfigurations()
     source.current = site.make_configuration()
-    held = configurations.Configurations(source=source)
+    held = configurations.ActiveConfiguration(source=source)
     asked = []
 
     async def from_peers(version):
@@ -257,7 +257,7 @@
         return None
 
     return refresh.Refresher(
-        held=held,
+        configuration=held,
         source=source,
         from_peers=from_peers or nobody,
         clock=virtual_time.now,
@@ -386,7 +386,7 @@
     table = make_peers(clock)
     names = [f'p{number}' for number in range(peer_count)]
     groups = ('g',) if leads else ()
-    period = peer_periods.find_periods(
+    period = report_intervals.compute_intervals(
         near=peer_count, remote=0, leads=leads
     ).near
 
@@ -460,7 +460,7 @@
     answer when it wakes and takes it for news.
     Cause: the age of a confirmation counted from when it was read.
     """
-    held = configurations.Configurations(source=Source())
+    held = configurations.ActiveConfiguration(source=Source())
     held.take(b'1', newest_at=0.0)
     asked = 50.0
     report = site.make_report(echo=asked, echo_incarnation=7, version_age=0.25)
--- a/tests/gateway/test_inbound.py
+++ b/tests/gateway/test_inbound.py
@@ -56,7 +56,7 @@
             await stream.send(sent)
             got = await site.read_answer(stream)
     assert got.status == status
-    assert got.whole
+    assert got.complete
     assert not one.seen
 
 
@@ -75,7 +75,7 @@
     config = site.make_configuration(idle_seconds=0.1)
     async with site.run_site(one, configuration=config) as running:
         async with site.connect(running) as stream:
-            with anyio.fail_after(site.PATIENCE):
+            with anyio.fail_after(site.TIMEOUT_SECONDS):
                 with pytest.raises(anyio.EndOfStream):
                     await stream.receive()
 
@@ -121,7 +121,7 @@
             for number in range(3):
                 await site.send_request(stream, path=f'/notes/{number}')
             data = b''
-            with anyio.fail_after(site.PATIENCE):
+            with anyio.fail_after(site.TIMEOUT_SECONDS):
                 while b'/notes/2' not in data:
                     data += await stream.receive()
     positions = [data.index(f'/notes/{number}'.encode()) for number in (0, 1)]
--- a/tests/gateway/test_many_entries.py
+++ b/tests/gateway/test_large_deployments.py
@@ -19,11 +19,11 @@
 from marigoldramp.gateway import group_members
 from marigoldramp.gateway import listings
 from marigoldramp.gateway import peer_exchange
-from marigoldramp.gateway import peer_periods
 from marigoldramp.gateway import peer_reports
 from marigoldramp.gateway import peers
 from marigoldramp.gateway import presence
 from marigoldramp.gateway import ranks
+from marigoldramp.gateway import report_intervals
 
 from . import site
 
@@ -97,7 +97,9 @@
     12,900 times a second across data centres.
     Cause: all peers counted the same, wherever they are.
     """
-    found = peer_periods.find_periods(near=near, remote=remote, leads=leads)
+    found = report_intervals.compute_intervals(
+        near=near, remote=remote, leads=leads
+    )
     assert (found.near, found.remote) == pytest.approx(expected, abs=0.001)
 
 
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -24,8 +24,8 @@
     step=0.00484,
     step_per_request=0.00087,
     prompt_rate=74800.0,
-    usual_prompt=800,
-    usual_answer=160,
+    mean_prompt_tokens=800,
+    mean_answer_tokens=160,
     expert_share=0.85,
     stride=7,
 )
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -45,14 +45,14 @@
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
     async with site.run_site(one) as first:
         async with site.run_site(one, instance='entry-2') as second:
-            process = first.running
+            process = first.gateway
             now = process._clock()
             learn(process.table.find('i-1').quality, now)
             process._reporter.forget()
             report = process._reporter.make(None)
             assert report.slow == pytest.approx(slow, rel=0.05)
             assert report.paces == paces
-            other = second.running
+            other = second.gateway
             sent = msgspec.structs.replace(report, instance='entry-1')
             other._reporter.take(sent, frozenset())
             told = other.table.find('i-1').quality
@@ -69,12 +69,12 @@
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
     async with site.run_site(one) as first:
         async with site.run_site(one, instance='entry-2') as second:
-            process = first.running
+            process = first.gateway
             process.dispatcher.pace('notes').passes.note(0.12)
             process._reporter.forget()
             report = process._reporter.make(None, 0.1)
             assert report.passes == {'notes': 0.12}
-            other = second.running
+            other = second.gateway
             other._reporter.take(
                 msgspec.structs.replace(report, instance='entry-1'),
                 frozenset(),
--- a/tests/gateway/test_restores.py
+++ b/tests/gateway/test_restores.py
@@ -14,7 +14,7 @@
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import listings
 from marigoldramp.gateway import outbound
-from marigoldramp.gateway import peer_roster
+from marigoldramp.gateway import peer_registry
 from marigoldramp.gateway import peers
 from marigoldramp.gateway import presence
 from marigoldramp.gateway import refresh
@@ -251,9 +251,9 @@
     def __init__(self, version, position=0):
         self.restored_at = float('-inf')
         self.source = Documents(version)
-        self.held = configurations.Configurations(source=self.source)
+        self.held = configurations.ActiveConfiguration(source=self.source)
         self.refresher = refresh.Refresher(
-            held=self.held,
+            configuration=self.held,
             source=self.source,
             from_peers=self._ask_peers,
             clock=virtual_time.now,
@@ -333,7 +333,7 @@
         self.peers = peers.PeerTable(
             instance=name, clock=virtual_time.now, random=random.Random(1)
         )
-        self.roster = peer_roster.Roster(
+        self.roster = peer_registry.PeerRegistry(
             store=self.store,
             table=self.peers,
             instance=name,
@@ -352,7 +352,7 @@
     return sorted(
         key.name
         for key, changes in table._changes.items()
-        if key.kind == peer_roster.KIND and changes[-1].value is not None
+        if key.kind == peer_registry.KIND and changes[-1].value is not None
     )
 
 
@@ -380,7 +380,8 @@
         await anyio.sleep(away)
         stands.faults.outage = False
         await anyio.sleep(
-            peer_roster.RESTORED_SPREAD + peer_roster.RETRY_AFTER
+            peer_registry.MAX_REWRITE_DELAY_SECONDS
+            + peer_registry.RETRY_INTERVAL_SECONDS
         )
         assert len(list_rows(stands)) == 20
         assert stands.counts.lists == lists
--- a/tests/gateway/test_status.py
+++ b/tests/gateway/test_status.py
@@ -34,7 +34,7 @@
     async with site.run_site(one) as running:
         await site.call(running)
         address = outbound.Address(
-            host=site.HOST, port=running.running.peer_port
+            host=site.HOST, port=running.gateway.peer_port
         )
         found = await peer_exchange.fetch_status(address=address)
     assert found is not None
@@ -57,7 +57,7 @@
 async def test_command_shows_who_answers_and_who_does_not(capsys):
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
     async with site.run_site(one) as running:
-        here = f'{site.HOST}:{running.running.peer_port}'
+        here = f'{site.HOST}:{running.gateway.peer_port}'
         code = await run_command(
             'gateway', 'status', here, '--endpoints', '--peers'
         )
@@ -73,8 +73,8 @@
 async def test_command_shows_and_releases_what_is_blocked(capsys):
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
     async with site.run_site(one) as running:
-        here = f'{site.HOST}:{running.running.peer_port}'
-        known = running.running.containment.suspects
+        here = f'{site.HOST}:{running.gateway.peer_port}'
+        known = running.gateway.containment.suspects
         known.take(
             suspects.Suspicion(
                 fingerprint='0123456789abcdef',
--- a/tests/gateway/test_urgency.py
+++ b/tests/gateway/test_urgency.py
@@ -108,9 +108,9 @@
     async with site.run_site(one, configuration=config) as running:
         record = site.make_record(one, slots=1)
         running.endpoints.records = [record]
-        running.running.table.put(record)
+        running.gateway.table.put(record)
         async with anyio.create_task_group() as tasks:
-            dispatcher = running.running.dispatcher
+            dispatcher = running.gateway.dispatcher
             for number, (path, left) in enumerate(
                 [('first', 8.0), ('again', 6.0), ('fresh', 8.0)]
             ):
