--- a/marigoldramp/gateway/demand_watch.py
+++ b/marigoldramp/gateway/demand_monitor.py
@@ -59,7 +59,7 @@
     DRIFTED = enum.auto()
 
 
-class DemandWatch:
+class DemandMonitor:
     """Follows what the requests of one group ask for.
 
     :param find: returns the endpoint of a name.
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -21,7 +21,7 @@
 from .. import map_conversation
 from .. import map_moves
 from .. import placement
-from . import demand_watch
+from . import demand_monitor
 from . import endpoints
 from . import expert_demand
 from . import passes as pass_times
@@ -92,8 +92,8 @@
 #: may go to.  From a first map of 72 ranks, 144 experts and 3 places the
 #: search ends after some 55 moves at a skew of 1.1; 24 leave it at 1.3, and
 #: more than 6 other ranks lead nowhere else.
-MOVES_A_RANK = 1.5
-MOST_OTHERS = 6
+MAX_MOVES_PER_RANK = 1.5
+MAX_TARGET_RANKS = 6
 #: What copies take over what the size and the link say: four copies of 0.111 s
 #: were ready after 0.52 to 0.56 s.
 COPY_MARGIN = 1.25
@@ -146,7 +146,7 @@
         self._slots = slots
         self._seconds_a_copy = seconds_a_copy
         self._clock = clock
-        self._watch = demand_watch.DemandWatch(
+        self._watch = demand_monitor.DemandMonitor(
             api=api,
             demand=expert_demand.ExpertDemand(
                 layers=shape.layers, experts=shape.experts
@@ -185,9 +185,9 @@
             match await self._watch.look(
                 names, self._count_watched(), pause, find_skew
             ):
-                case demand_watch.Sign.SHIFTED | demand_watch.Sign.DRIFTED:
+                case demand_monitor.Sign.SHIFTED | demand_monitor.Sign.DRIFTED:
                     return await self._search(expert_map)
-                case demand_watch.Sign.COUNTED:
+                case demand_monitor.Sign.COUNTED:
                     return await self._search(expert_map, LEAST_REFINED_GAIN)
             if self._clock() + LOOK_SECONDS > until:
                 return None
@@ -289,7 +289,7 @@
         new = await map_moves.MapSearch(
             searches=self._begin_searches(expert_map, popular, slow),
             gain_a_copy=self._find_gain_a_copy(use),
-            most_moves=math.ceil(MOVES_A_RANK * self._shape.ranks),
+            most_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
         ).improve()
         before = mean_skew(expert_map.layers, popular, slow)
         after = mean_skew(new, popular, slow)
@@ -340,7 +340,7 @@
                     popularity=popularity,
                     slots=self._shape.slots,
                     most_new=self._spare,
-                    most_others=MOST_OTHERS,
+                    most_others=MAX_TARGET_RANKS,
                     copies_left=copies_left,
                     first=layer,
                     closed=slow,
--- a/marigoldramp/gateway/offices.py
+++ b/marigoldramp/gateway/group_lease.py
@@ -5,7 +5,7 @@
 from .. import leases
 
 
-class Tenure(leases.LeaseWrapper):
+class GroupLease(leases.LeaseWrapper):
     """A lease that is kept while the store is away.
 
     A leader that stops when it cannot renew leaves a group with the map that
@@ -15,19 +15,19 @@
     what ranks refuse; the lease only keeps them from working against each
     other.  So one goes on until somebody else is known to lead.
 
-    :param led_elsewhere: whether another entry says that it leads.
+    :param led_by_peers: whether another entry says that it leads.
     """
 
-    __slots__ = ('_led_elsewhere',)
+    __slots__ = ('_led_by_peers',)
 
     def __init__(
-        self, *, lease: leases.Lease, led_elsewhere: Callable[[], bool]
+        self, *, lease: leases.Lease, led_by_peers: Callable[[], bool]
     ) -> None:
         super().__init__(lease=lease)
-        self._led_elsewhere = led_elsewhere
+        self._led_by_peers = led_by_peers
 
     def held(self) -> bool:
         """Whether we go on leading."""
         if self._lease.held():
             return True
-        return self._lease.is_unchallenged() and not self._led_elsewhere()
+        return self._lease.is_unchallenged() and not self._led_by_peers()
--- a/marigoldramp/gateway/group_members.py
+++ b/marigoldramp/gateway/group_members.py
@@ -57,7 +57,7 @@
             if (endpoint := self._table.find(member)) is not None
         ]
 
-    async def look(self, service: str) -> None:
+    async def refresh(self, service: str) -> None:
         """Ask the endpoints for their groups that have not said so yet.
 
         While endpoints start one after the other, asking all of them at each
--- a/marigoldramp/gateway/group_leading.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -26,8 +26,8 @@
 from . import deployment
 from . import endpoints
 from . import expert_planner
+from . import group_lease
 from . import group_members
-from . import offices
 from . import passes as pass_times
 from . import rank_transport
 from . import ranks
@@ -63,7 +63,7 @@
         *,
         group: group_members.Group,
         leader: map_leader.Leader,
-        lease: offices.Tenure,
+        lease: group_lease.GroupLease,
     ) -> None:
         self.group = group
         self.leader = leader
@@ -72,26 +72,26 @@
         self.unreached_since = float('inf')
 
 
-class GroupLeading:
+class LeaderElector:
     """The part that one entry takes in leading groups.
 
     :param services: returns the services now configured.
     :param fenced: whether ranks refuse orders of older leaders.
-    :param rivals: returns the entries that are heard and fit to lead, and
-        about as strong as any.
-    :param is_outdone: whether one of them can do much more than we.
-    :param pauses: returns the pauses of a service's streams, as a part of
+    :param eligible_peers: returns the entries that are heard and fit to lead,
+        and about as strong as any.
+    :param has_stronger_peer: whether one of them can do much more than we.
+    :param pause_share: returns the pauses of a service's streams, as a part of
         the accepted ones.
     :param passes: returns how long the passes of a service's group last.
-    :param limit: returns how many requests an endpoint of a service may run,
-        by its slots.
-    :param led_elsewhere: returns the groups that peers say they lead.
-    :param is_idle: whether an entry says that it does not lead a group.
+    :param concurrency_limit: returns how many requests an endpoint of a
+        service may run, by its slots.
+    :param led_by_peers: returns the groups that peers say they lead.
+    :param denies_leading: whether an entry says that it does not lead a group.
     :param is_gone: whether an entry is taken to have ended; the next leader
         does not wait for the end of its lease then, as two leaders at once
         part no ranks.
-    :param has_store: whether the store answers us.
-    :ivar fit: we may lead; told to peers.
+    :param is_store_reachable: whether the store answers us.
+    :ivar eligible: we may lead; told to peers.
     """
 
     __slots__ = (
@@ -99,18 +99,18 @@
         '_table',
         '_services',
         '_fenced',
-        '_rivals',
-        '_is_outdone',
-        '_led_elsewhere',
-        '_is_idle',
+        '_eligible_peers',
+        '_has_stronger_peer',
+        '_led_by_peers',
+        '_denies_leading',
         '_is_gone',
         '_idle_since',
-        '_pauses',
+        '_pause_share',
         '_passes',
-        '_limit',
+        '_concurrency_limit',
         '_api',
         '_store',
-        '_has_store',
+        '_is_store_reachable',
         '_clock',
         '_offices',
         '_groups',
@@ -126,35 +126,35 @@
         table: endpoints.EndpointTable,
         services: Callable[[], Iterable[deployment.Service]],
         fenced: Callable[[], bool],
-        rivals: Callable[[], Iterable[str]],
-        led_elsewhere: Callable[[], frozenset[str]],
-        is_idle: Callable[[str, str], bool],
+        eligible_peers: Callable[[], Iterable[str]],
+        led_by_peers: Callable[[], frozenset[str]],
+        denies_leading: Callable[[str, str], bool],
         is_gone: Callable[[str], bool],
-        pauses: Callable[[str], float],
+        pause_share: Callable[[str], float],
         passes: Callable[[str], pass_times.PassTimes],
-        limit: Callable[[str, float], float],
+        concurrency_limit: Callable[[str, float], float],
         api: ranks.RankApi,
         store: store_module.PlatformStore,
-        has_store: Callable[[], bool],
+        is_store_reachable: Callable[[], bool],
         clock: Callable[[], float],
-        is_outdone: Callable[[], bool] = lambda: False,
+        has_stronger_peer: Callable[[], bool] = lambda: False,
     ) -> None:
         self._instance = instance
         self._table = table
         self._services = services
         self._fenced = fenced
-        self._rivals = rivals
-        self._is_outdone = is_outdone
-        self._led_elsewhere = led_elsewhere
-        self._is_idle = is_idle
+        self._eligible_peers = eligible_peers
+        self._has_stronger_peer = has_stronger_peer
+        self._led_by_peers = led_by_peers
+        self._denies_leading = denies_leading
         self._is_gone = is_gone
         self._idle_since: dict[str, float] = {}
-        self._pauses = pauses
+        self._pause_share = pause_share
         self._passes = passes
-        self._limit = limit
+        self._concurrency_limit = concurrency_limit
         self._api = api
         self._store = store
-        self._has_store = has_store
+        self._is_store_reachable = is_store_reachable
         self._clock = clock
         self._offices: dict[str, _Office] = {}
         self._groups = group_members.GroupMembers(api=api, table=table)
@@ -163,17 +163,17 @@
         self._stopping = False
 
     @property
-    def fit(self) -> bool:
+    def eligible(self) -> bool:
         """Whether we may lead.
 
         One that the store turns away would keep others from contending, and
         could not take the lease.
         """
-        if self._stopping or not self._has_store():
+        if self._stopping or not self._is_store_reachable():
             return False
         return self._clock() >= self._unfit_until
 
-    def led(self) -> tuple[str, ...]:
+    def led_groups(self) -> tuple[str, ...]:
         """Return the groups that we lead.
 
         One whose ranks know a newer leader is not ours, though the store
@@ -218,10 +218,10 @@
         if is_first or self._leads_in(service):
             # Endpoints come and go for a leader too, also when another entry
             # has come that would be the first now.
-            await self._groups.look(service)
+            await self._groups.refresh(service)
         if not is_first:
             return
-        elsewhere = self._led_elsewhere()
+        elsewhere = self._led_by_peers()
         for group in self._groups:
             if group.service != service or group.name in self._offices:
                 continue
@@ -230,9 +230,9 @@
 
     def _is_first(self, service: str) -> bool:
         """Whether it falls to us to contend."""
-        if not self.fit or self._is_outdone():
+        if not self.eligible or self._has_stronger_peer():
             return False
-        names = {self._instance, *self._rivals()}
+        names = {self._instance, *self._eligible_peers()}
         first = rendezvous.choose(key=service, names=names, count=1)
         return first == (self._instance,)
 
@@ -244,11 +244,11 @@
 
     def _leave_offices(self) -> None:
         """Stop contending where another leads, or where we cannot lead."""
-        elsewhere = self._led_elsewhere()
+        elsewhere = self._led_by_peers()
         now = self._clock()
         for name, office in list(self._offices.items()):
             held = office.lease.held()
-            if not held and (name in elsewhere or not self.fit):
+            if not held and (name in elsewhere or not self.eligible):
                 office.scope.cancel()
                 continue
             trouble = office.leader.trouble
@@ -275,7 +275,7 @@
             layers=engine.layers,
             slots=engine.places,
         )
-        lease = offices.Tenure(
+        lease = group_lease.GroupLease(
             lease=leases.Lease(
                 store=self._store,
                 name=f'group-{group.name}',
@@ -284,7 +284,7 @@
                 clock=self._clock,
                 is_gone=lambda holder: self._has_ended(group.name, holder),
             ),
-            led_elsewhere=lambda: group.name in self._led_elsewhere(),
+            led_by_peers=lambda: group.name in self._led_by_peers(),
         )
         fenced = self._fenced()
         transport = rank_transport.RankTransport(
@@ -337,7 +337,7 @@
         if self._is_gone(holder):
             return True
         now = self._clock()
-        if not self._is_idle(holder, group):
+        if not self._denies_leading(holder, group):
             self._idle_since.pop(group, None)
             return False
         return now - self._idle_since.setdefault(group, now) >= IDLE_SECONDS
@@ -351,12 +351,13 @@
         members = self._groups.list_known(group.name)
         service = group.service
         room = sum(
-            self._limit(service, endpoint.record.slots) for endpoint in members
+            self._concurrency_limit(service, endpoint.record.slots)
+            for endpoint in members
         )
         if not room:
             return 0.0
         used = sum(endpoint.in_flight for endpoint in members) / room
-        return max(used, self._pauses(service))
+        return max(used, self._pause_share(service))
 
     async def _hold(self, office: _Office) -> None:
         try:
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -24,8 +24,8 @@
 from . import endpoints
 from . import forwarding
 from . import gossip
-from . import group_leading
 from . import inbound
+from . import leader_election
 from . import listeners
 from . import listings
 from . import outbound
@@ -184,7 +184,7 @@
             ),
             make=self._report,
             take=self._take,
-            leads=lambda: bool(self.leading.led()),
+            leads=lambda: bool(self.elector.led_groups()),
             clock=clock,
             random=random,
         )
@@ -197,28 +197,28 @@
             random=random,
         )
         adapter.store.on_restore(self._note_restore)
-        self.leading = group_leading.GroupLeading(
+        self.elector = leader_election.LeaderElector(
             instance=settings.instance,
             table=self.table,
             services=self._services,
             fenced=lambda: self.settings.bounds.fenced,
-            rivals=lambda: self.peers.fit_to_lead(
+            eligible_peers=lambda: self.peers.fit_to_lead(
                 strength=self.settings.strength
             ),
-            is_outdone=lambda: self.peers.is_outdone(
+            has_stronger_peer=lambda: self.peers.is_outdone(
                 strength=self.settings.strength
             ),
-            led_elsewhere=self.peers.led_groups,
-            is_idle=self.peers.is_idle,
+            led_by_peers=self.peers.led_groups,
+            denies_leading=self.peers.is_idle,
             is_gone=self.peers.is_lost,
-            pauses=lambda service: self.dispatcher.pace(service).share,
+            pause_share=lambda service: self.dispatcher.pace(service).share,
             passes=lambda service: self.dispatcher.pace(service).passes,
-            limit=lambda service, slots: self.dispatcher.pace(service).limit(
-                slots
-            ),
+            concurrency_limit=lambda service, slots: self.dispatcher.pace(
+                service
+            ).limit(slots),
             api=adapter.ranks,
             store=adapter.store,
-            has_store=lambda: self.follower.store.reached,
+            is_store_reachable=lambda: self.follower.store.reached,
             clock=clock,
         )
         parts = reporting.Parts(
@@ -228,7 +228,7 @@
             table=self.table,
             peers=self.peers,
             dispatcher=self.dispatcher,
-            leading=self.leading,
+            elector=self.elector,
             containment=self.containment,
             store=adapter.store,
         )
@@ -300,7 +300,7 @@
         """Return where callers can connect, here and at peers."""
         found = self.peers.ready_addresses()
         if self.is_ready() and self.settings.calls is not None:
-            leads = bool(self.leading.led())
+            leads = bool(self.elector.led_groups())
             if not leads or len(found) < peers.ENOUGH_WITHOUT_LEADERS:
                 found.insert(0, self.settings.calls)
         return found
@@ -355,7 +355,7 @@
         tasks.start_soon(self.refresher.run)
         tasks.start_soon(self.follower.run)
         tasks.start_soon(self._registry.run)
-        tasks.start_soon(self.leading.run)
+        tasks.start_soon(self.elector.run)
         tasks.start_soon(self.containment.exchange.run)
         tasks.start_soon(self._keeper.run)
 
@@ -517,7 +517,7 @@
         self._tell_peers()
         await stopping.lead_through(
             stopping.Parts(
-                resign=self.leading.stop,
+                resign=self.elector.stop,
                 listener=self._call_listener,
                 connections=self._connections,
                 asked_at=lambda: self.forwarder.asked_at,
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -191,7 +191,7 @@
             return map_orders.Lost(detail=found.detail)
         if found.group != self._group:
             return _refuse(order, Refusal.OTHER_GROUP)
-        if not found.whole:
+        if not found.group_open:
             return _refuse(order, Refusal.ENGINE_FAILED)
         last = link.report
         if last is not None and (
@@ -328,7 +328,7 @@
         """Return a map, put together from what all ranks hold."""
         known = self._maps.get(version)
         if known is None and version.fence == 0:
-            known = first_map(shape=self._shape)
+            known = initial_map(shape=self._shape)
         if known is None:
             known = await self._gather(version)
         if known is None:
@@ -378,7 +378,7 @@
         return expert_maps.ExpertMap(version=version, layers=layers)
 
 
-def first_map(*, shape: expert_maps.Shape) -> expert_maps.ExpertMap:
+def initial_map(*, shape: expert_maps.Shape) -> expert_maps.ExpertMap:
     """Return the map with which a group forms: experts dealt out in turn."""
     layer = tuple(
         tuple(range(rank, shape.experts, shape.ranks))
--- a/marigoldramp/gateway/ranks.py
+++ b/marigoldramp/gateway/ranks.py
@@ -33,7 +33,7 @@
     epoch: int
     rank: int
     size: int
-    whole: bool
+    group_open: bool
     step: int
     version: int
     prepared: int | None
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -11,7 +11,7 @@
 from . import discovery
 from . import dispatch
 from . import endpoints
-from . import group_leading
+from . import leader_election
 from . import peer_reports
 from . import peers
 from . import quality
@@ -36,7 +36,7 @@
     table: endpoints.EndpointTable
     peers: peers.PeerTable
     dispatcher: dispatch.Dispatcher
-    leading: group_leading.GroupLeading
+    elector: leader_election.LeaderElector
     containment: containment_module.Containment
     store: store_module.PlatformStore
 
@@ -155,8 +155,8 @@
             },
             slow=self._list_slow(now),
             paces=self._list_paces(now),
-            fit=parts.leading.fit and self._ready(),
-            leads=parts.leading.led(),
+            fit=parts.elector.eligible and self._ready(),
+            leads=parts.elector.led_groups(),
             strength=settings.strength,
             data_centre=settings.data_centre,
             passes=self._list_passes(),
--- a/marigoldramp/gateway/status.py
+++ b/marigoldramp/gateway/status.py
@@ -150,7 +150,7 @@
             version_age=_age(now, parts.active_configuration.confirmed_at),
             store_age=_age(now, parts.follower.store.reached_at),
             relies=parts.follower.relies(),
-            leads=parts.leading.led(),
+            leads=parts.elector.led_groups(),
             queues=tuple(self._describe_queue(name) for name in services),
             endpoints=tuple(self._describe_endpoint(one) for one in known),
             peers=tuple(
--- a/marigoldramp/platform/ranks.py
+++ b/marigoldramp/platform/ranks.py
@@ -123,7 +123,7 @@
             epoch=found.group.epoch,
             rank=found.group.rank,
             size=found.size,
-            whole=found.group.state == _OPEN,
+            group_open=found.group.state == _OPEN,
             step=found.step,
             version=found.version,
             prepared=found.prepared,
--- a/marigoldramp_measure/decisions.py
+++ b/marigoldramp_measure/decisions.py
@@ -146,7 +146,7 @@
         [draw.paretovariate(TAIL) for _ in range(shape.experts)]
         for _ in range(shape.layers)
     ]
-    layers = rank_transport.first_map(shape=shape).layers
+    layers = rank_transport.initial_map(shape=shape).layers
     layers = await _improve(shape, layers, popular)
     rows = []
     for _ in range(SHIFTS):
@@ -187,11 +187,11 @@
                 popularity=row,
                 slots=shape.slots,
                 most_new=2,
-                most_others=expert_planner.MOST_OTHERS,
+                most_others=expert_planner.MAX_TARGET_RANKS,
                 copies_left=copies_left,
             )
             for layer, row in zip(layers, popular)
         ],
         gain_a_copy=GAIN,
-        most_moves=int(expert_planner.MOVES_A_RANK * shape.ranks),
+        most_moves=int(expert_planner.MAX_MOVES_PER_RANK * shape.ranks),
     ).improve()
--- a/tests/gateway/fake_ranks.py
+++ b/tests/gateway/fake_ranks.py
@@ -138,7 +138,7 @@
             epoch=self.epoch,
             rank=rank.number,
             size=self.size,
-            whole=True,
+            group_open=True,
             step=self.step,
             version=rank.version,
             prepared=rank.prepared if ready else None,
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -7,7 +7,7 @@
 import virtual_time
 
 from marigoldramp import expert_maps
-from marigoldramp.gateway import demand_watch
+from marigoldramp.gateway import demand_monitor
 from marigoldramp.gateway import expert_planner
 from marigoldramp.gateway import passes
 from marigoldramp.gateway import rank_transport
@@ -71,7 +71,7 @@
 async def decide(planner, group, weights, times=4):
     """Return the last plan that is made in some reads of counts."""
     plan = None
-    current = rank_transport.first_map(shape=SHAPE)
+    current = rank_transport.initial_map(shape=SHAPE)
     for _ in range(times):
         await anyio.sleep(expert_planner.SAMPLE_SECONDS)
         count(group, weights)
@@ -146,7 +146,7 @@
     async def lead():
         while True:
             plan = await planner.plan(
-                expert_map=rank_transport.first_map(shape=SHAPE),
+                expert_map=rank_transport.initial_map(shape=SHAPE),
                 conversation=Talk(group.names()),
             )
             if plan is not None:
@@ -190,16 +190,16 @@
         await watch.measure_first(names, 0.0)
         watch.note_planned()
         watch.note_skew(1.0)
-        await anyio.sleep(demand_watch.REFINE_SECONDS)
+        await anyio.sleep(demand_monitor.REFINE_SECONDS)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(
-                demand_watch.DemandWatch,
+                demand_monitor.DemandMonitor,
                 'measure',
                 lambda self, names, find_skew: find_no_shift(names, find_skew),
             )
             sign = await watch.look(names, 1, 0.0, lambda window: 9.0)
         tasks.cancel_scope.cancel()
-    assert sign is demand_watch.Sign.COUNTED
+    assert sign is demand_monitor.Sign.COUNTED
 
 
 @pytest.mark.parametrize(
@@ -226,15 +226,15 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
         talk = Talk(group.names())
-        first = rank_transport.first_map(shape=SHAPE)
+        first = rank_transport.initial_map(shape=SHAPE)
         await planner.plan(expert_map=first, conversation=talk)
         # Of one rank's experts, which the plan before took for even.
         weights[0] = seen_since
         plan = None
-        until = virtual_time.now() + demand_watch.REFINE_SECONDS + 0.3
+        until = virtual_time.now() + demand_monitor.REFINE_SECONDS + 0.3
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(
-                demand_watch.DemandWatch,
+                demand_monitor.DemandMonitor,
                 '_shows_shift',
                 lambda self, window, signs, find_skew: False,
             )
@@ -296,12 +296,12 @@
         tasks.start_soon(run)
         began = virtual_time.now()
         plan = await planner.plan(
-            expert_map=rank_transport.first_map(shape=SHAPE),
+            expert_map=rank_transport.initial_map(shape=SHAPE),
             conversation=Talk(group.names()),
         )
         tasks.cancel_scope.cancel()
     assert plan is not None
-    assert virtual_time.now() - began < 2 * demand_watch.MEASURE_SECONDS
+    assert virtual_time.now() - began < 2 * demand_monitor.MEASURE_SECONDS
 
 
 @pytest.mark.parametrize('turned', [frozenset(), frozenset({2})])
@@ -318,7 +318,7 @@
     slow.update(dict.fromkeys(turned, 4.0))
     began = virtual_time.now()
     plan = await planner.plan(
-        expert_map=rank_transport.first_map(shape=SHAPE),
+        expert_map=rank_transport.initial_map(shape=SHAPE),
         conversation=Talk(group.names()),
     )
     assert (plan is not None) is bool(turned)
@@ -341,7 +341,7 @@
         version=rank_transport.read_version(1), layers=plan.layers
     )
     assert expert_maps.check(expert_map=new, shape=SHAPE) == ()
-    old = rank_transport.first_map(shape=SHAPE)
+    old = rank_transport.initial_map(shape=SHAPE)
     for before, after in zip(old.layers, plan.layers):
         for held, wanted in zip(before, after):
             assert len(set(wanted) - set(held)) <= SPARE
@@ -359,7 +359,7 @@
     weights = [int(3000 / (1 + draw.randrange(40))) for _ in EVEN]
     planner, group = make_planner(1.0, seconds_a_copy=seconds)
     plan = await decide(planner, group, weights)
-    old = rank_transport.first_map(shape=SHAPE)
+    old = rank_transport.initial_map(shape=SHAPE)
     copies = [
         sum(
             len(set(after[rank]) - set(before[rank]))
@@ -433,7 +433,7 @@
 
 async def test_rank_at_its_usual_pace_gets_experts_again():
     planner, group = make_planner(1.0)
-    first = rank_transport.first_map(shape=SHAPE)
+    first = rank_transport.initial_map(shape=SHAPE)
     layers = tuple(
         ((), *layer[1:-1], layer[0] + layer[-1]) for layer in first.layers
     )
@@ -472,7 +472,7 @@
             for number, weight in enumerate(weights):
                 counts[number] += weight
         plan = await planner.plan(
-            expert_map=rank_transport.first_map(shape=shape),
+            expert_map=rank_transport.initial_map(shape=shape),
             conversation=Talk(group.names()),
         )
         if plan is not None:
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -614,7 +614,7 @@
             epoch=1,
             rank=int(identity[2:]),
             size=192,
-            whole=True,
+            group_open=True,
             step=0,
             version=0,
             prepared=None,
@@ -651,12 +651,12 @@
     for number in range(0, 192, 4):
         for each in range(4):
             put(number + each)
-        await groups.look('notes')
+        await groups.refresh('notes')
     assert len(api.asked) == len(set(api.asked)) == 192
     assert len(groups.list_known('g')) == 192
     put(7, born=2)
     table.remove('i-8')
-    await groups.look('notes')
+    await groups.refresh('notes')
     assert api.asked[192:] == ['i-7']
     assert len(groups.list_known('g')) == 191
 
--- a/tests/gateway/test_group_leading.py
+++ b/tests/gateway/test_leader_election.py
@@ -9,7 +9,7 @@
 
 from marigoldramp.gateway import deployment
 from marigoldramp.gateway import endpoints
-from marigoldramp.gateway import group_leading
+from marigoldramp.gateway import leader_election
 from marigoldramp.gateway import passes
 from marigoldramp import map_recovery
 from marigoldramp import store
@@ -87,33 +87,35 @@
         )
         for rank in self.group.names():
             table.put(self.group.find(rank).record)
-        return group_leading.GroupLeading(
+        return leader_election.LeaderElector(
             instance=name,
             table=table,
             services=lambda: (SERVICE,),
             fenced=lambda: self.fenced,
-            rivals=lambda: [
+            eligible_peers=lambda: [
                 other
                 for other, entry in self.entries.items()
-                if other != name and other not in self.silent and entry.fit
+                if other != name
+                and other not in self.silent
+                and entry.eligible
             ],
-            led_elsewhere=lambda: frozenset(
+            led_by_peers=lambda: frozenset(
                 group
                 for other, entry in self.entries.items()
                 if other != name and other not in self.silent
-                for group in entry.led()
+                for group in entry.led_groups()
             ),
-            is_idle=lambda other, group: (
+            denies_leading=lambda other, group: (
                 other not in self.silent
-                and group not in self.entries[other].led()
+                and group not in self.entries[other].led_groups()
             ),
             is_gone=lambda other: other in self.silent,
-            pauses=lambda service: 0.0,
+            pause_share=lambda service: 0.0,
             passes=lambda service: passes.PassTimes(clock=virtual_time.now),
-            limit=lambda service, slots: slots,
+            concurrency_limit=lambda service, slots: slots,
             api=self.group,
             store=StoreOfOne(fleet=self, name=name),
-            has_store=lambda: name not in self.turned_away,
+            is_store_reachable=lambda: name not in self.turned_away,
             clock=virtual_time.now,
         )
 
@@ -125,7 +127,7 @@
         return [
             name
             for name, entry in self.entries.items()
-            if entry.led() and name not in self.silent
+            if entry.led_groups() and name not in self.silent
         ]
 
     def start(self, tasks):
@@ -169,7 +171,9 @@
         tasks.start_soon(fleet.run_entry, 'a')
         await anyio.sleep(4.0)
         assert fleet.leaders() == ['a']
-        alone._rivals = lambda: [f'entry-{number}' for number in range(40)]
+        alone._eligible_peers = lambda: [
+            f'entry-{number}' for number in range(40)
+        ]
         assert not alone._is_first('notes')
         for name in ranks[1:]:
             alone._table.put(records[name])
@@ -270,7 +274,7 @@
         first = fleet.leaders()[0]
         with anyio.fail_after(4.0):
             await fleet.entries[first].stop()
-        assert not fleet.entries[first].fit
+        assert not fleet.entries[first].eligible
         await anyio.sleep(2.5)
         assert fleet.leaders() not in ([], [first])
         tasks.cancel_scope.cancel()
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -11,7 +11,7 @@
 import pytest
 import virtual_time
 
-from marigoldramp.gateway import offices
+from marigoldramp.gateway import group_lease
 from marigoldramp.gateway import rank_transport
 from marigoldramp.gateway import ranks
 from marigoldramp import leases
@@ -123,7 +123,7 @@
 
     def _make_leader(self):
         world = self.world
-        self.lease = offices.Tenure(
+        self.lease = group_lease.GroupLease(
             lease=leases.Lease(
                 store=world.store,
                 name='group-g',
@@ -132,7 +132,7 @@
                 clock=virtual_time.now,
                 is_gone=world.is_gone,
             ),
-            led_elsewhere=lambda: world.is_led_beside(self),
+            led_by_peers=lambda: world.is_led_beside(self),
         )
         return map_leader.Leader(
             group='g',
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -80,7 +80,7 @@
             tuple(
                 tuple(sorted({*held[:2], (rank + turn + 1) % SHAPE.experts}))
                 for rank, held in enumerate(
-                    rank_transport.first_map(shape=SHAPE).layers[0]
+                    rank_transport.initial_map(shape=SHAPE).layers[0]
                 )
             )
             for _ in range(SHAPE.layers)
