--- a/marigoldramp/gateway/expert_demand.py
+++ b/marigoldramp/gateway/expert_demand.py
@@ -1,14 +1,14 @@
-"""Which experts the requests of a group choose, from counts of a few ranks.
+"""Estimates the demand for each expert of a group from counts of a few ranks.
 
-What requests ask for changes at one moment: 35 to 50 in 100 of the choices go
-to other experts, and stay there for seconds.  Counts from before that
-moment say nothing of what comes after it, so they are dropped as a whole.
-Smoothed away over some seconds, they led to two changes of the map for each
-shift, the first of which left a skew of 1.2 to 1.5.
+Demand shifts at once: 35 to 50 % of the choices go to other experts and stay
+there for seconds.  Counts from before a shift say nothing about the demand
+after it, so they are all dropped.  An average over some seconds makes two map
+changes necessary for each shift, the first of which leaves a skew of 1.2 to
+1.5.
 
-Counts of one rank differ from one window to the next by what its own
-requests are about.  That is the error by which a shift is told from chance.
-In a large group one rank has few requests, so windows of several are added up.
+Counts of one rank vary between windows with the topics of its requests; a
+shift has to exceed that noise.  In a large group one rank has few requests, so
+windows of several ranks are added up.
 """
 
 import dataclasses
@@ -17,177 +17,200 @@
 
 from . import ranks
 
-#: Least counts of a window, for each expert, from which it says anything.
-LEAST_COUNTS = 8
-#: Distance of a window from what was counted before, as the part of the
-#: choices that moved to other experts, from which on it always is a shift.
-#: Windows of 0.2 s of one of 16 ranks differ by 0.06 to 0.17 with nothing
-#: changed, and by 0.31 to 0.50 after a shift.
-SHIFT = 0.22
-#: The same for windows that differ less by chance.
-LEAST_SHIFT = 0.08
-#: By how much more than planned for the map in force is uneven for a window,
-#: from which on that always is a shift, and the same for windows that differ
-#: less by chance.  With 192 ranks a shift moves 0.1 of the choices, which
-#: chance does, too, but some of them to one rank, so that a skew of 1.1
-#: becomes one of 1.6 to 2.4.  With 16 ranks it becomes one of 2.4 to 3.2, and
-#: windows of 0.2 s show up to 1.6 with nothing changed.
-UNEVEN = 0.8
-LEAST_UNEVEN = 0.35
-#: How many times more than usual a window has to differ.
-CHANCE_FACTOR = 1.8
-#: Weight of the newest distance in the usual one.
-SMOOTHING = 0.2
-#: Seconds after which a count weighs half.
-HALF_LIFE = 3.0
+#: A window with fewer counts per expert on average is too small to use.
+MIN_COUNTS_PER_EXPERT = 8
+#: Bounds of the distance that indicates a shift: the part of the choices that
+#: moved to other experts.  Windows of 0.2 s of one of 16 ranks differ by 0.06
+#: to 0.17 without a shift, and by 0.31 to 0.50 after one.  The lower bound
+#: applies where noise is low.
+MAX_DISTANCE_THRESHOLD = 0.22
+MIN_DISTANCE_THRESHOLD = 0.08
+#: Bounds of the excess skew that indicates a shift: the skew of the map in
+#: force for a window, less the planned skew.  With 192 ranks a shift moves 0.1
+#: of the choices, as noise does, but some of them to one rank, so that a skew
+#: of 1.1 becomes 1.6 to 2.4.  With 16 ranks it becomes 2.4 to 3.2, and windows
+#: of 0.2 s show up to 1.6 without a shift.
+MAX_EXCESS_SKEW_THRESHOLD = 0.8
+MIN_EXCESS_SKEW_THRESHOLD = 0.35
+#: Factor by which a window has to differ more than windows typically do.
+NOISE_FACTOR = 1.8
+#: Weight of the newest difference in the moving average.
+NOISE_SMOOTHING = 0.2
+#: Age at which a count has half its weight.
+HALF_LIFE_SECONDS = 3.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Window:
-    """What ranks counted between two reads.
+    """Choices counted by ranks between two reads.
 
-    :ivar counts: experts of all layers behind one another.
+    :ivar counts: by expert, with the layers concatenated.
     """
 
     counts: tuple[int, ...]
 
-    def is_enough(self) -> bool:
-        """Whether there is enough to say what is popular."""
-        return sum(self.counts) >= LEAST_COUNTS * len(self.counts)
+    def is_sufficient(self) -> bool:
+        """Return whether there are enough counts for an estimate."""
+        return sum(self.counts) >= MIN_COUNTS_PER_EXPERT * len(self.counts)
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Seen:
-    """Counts of a rank at its last read."""
+class _LastRead:
+    """Counters of a rank at its last read."""
 
     epoch: int
     born: int
     counts: tuple[int, ...]
 
 
-class Chance:
-    """How much windows of one kind differ with nothing changed.
+class AdaptiveThreshold:
+    """Threshold for a shift that follows the noise between windows.
 
-    :param most: from which on a difference always is a shift.
-    :param least: below which it never is one.
+    :param maximum: a difference above it always is a shift.
+    :param minimum: a difference below it never is a shift.
     """
 
-    __slots__ = ('_most', '_least', '_usual')
+    __slots__ = ('_maximum', '_minimum', '_typical')
 
-    def __init__(self, *, most: float, least: float) -> None:
-        self._most = most
-        self._least = least
-        self._usual: float | None = None
+    def __init__(self, *, maximum: float, minimum: float) -> None:
+        self._maximum = maximum
+        self._minimum = minimum
+        self._typical: float | None = None
 
     def limit(self) -> float:
-        """Return the difference from which on a window shows a shift."""
-        if self._usual is None:
-            return self._most
-        return min(self._most, max(self._least, CHANCE_FACTOR * self._usual))
+        """Return the difference above which a window shows a shift."""
+        if self._typical is None:
+            return self._maximum
+        return min(
+            self._maximum, max(self._minimum, NOISE_FACTOR * self._typical)
+        )
 
-    def note(self, difference: float) -> None:
-        """Learn of a window that showed none."""
-        if self._usual is None:
-            self._usual = difference
-        self._usual += SMOOTHING * (difference - self._usual)
+    def record(self, difference: float) -> None:
+        """Add the difference of a window without a shift."""
+        if self._typical is None:
+            self._typical = difference
+        self._typical += NOISE_SMOOTHING * (difference - self._typical)
 
 
-class Signs:
-    """The signs by which windows of one kind show a shift.
+class ShiftThresholds:
+    """Thresholds by which windows of one kind show a shift.
 
-    :ivar distance: of windows from what was counted before.
-    :ivar uneven: how much more than planned for the map in force is uneven.
+    :ivar distance: distance of a window from the estimate.
+    :ivar excess_skew: skew of the map in force, less the planned skew.
     """
 
-    __slots__ = ('distance', 'uneven')
+    __slots__ = ('distance', 'excess_skew')
 
     def __init__(self) -> None:
-        self.distance = Chance(most=SHIFT, least=LEAST_SHIFT)
-        self.uneven = Chance(most=UNEVEN, least=LEAST_UNEVEN)
+        self.distance = AdaptiveThreshold(
+            maximum=MAX_DISTANCE_THRESHOLD, minimum=MIN_DISTANCE_THRESHOLD
+        )
+        self.excess_skew = AdaptiveThreshold(
+            maximum=MAX_EXCESS_SKEW_THRESHOLD,
+            minimum=MIN_EXCESS_SKEW_THRESHOLD,
+        )
 
 
 class ExpertDemand:
-    """Popularity of the experts of a group since its last shift."""
-
-    __slots__ = ('_layers', '_experts', '_seen', '_counted', '_added_at')
+    """Estimate of the experts' popularity since the last shift."""
+
+    __slots__ = (
+        '_layers',
+        '_experts',
+        '_last_reads',
+        '_weighted_counts',
+        '_updated_at',
+    )
 
     def __init__(self, *, layers: int, experts: int) -> None:
         self._layers = layers
         self._experts = experts
-        self._seen: dict[str, _Seen] = {}
-        self._counted = [0.0] * (layers * experts)
-        self._added_at = 0.0
+        self._last_reads: dict[str, _LastRead] = {}
+        self._weighted_counts = [0.0] * (layers * experts)
+        self._updated_at = 0.0
 
-    def read(self, *, name: str, found: ranks.RankCounts) -> Window | None:
-        """Return what one rank has counted since it was last read.
+    def take_window(
+        self, *, name: str, rank_counts: ranks.RankCounts
+    ) -> Window | None:
+        """Return what one rank has counted since its last window.
 
-        :returns: ``None`` if there is nothing to compare, as after a start
-            of the rank, when it counts from zero again; or too little, which
-            is then part of the next window.
+        :returns: ``None`` if there is no comparable last read, as after a
+            restart of the rank, when it counts from zero; or if there are too
+            few counts, which then become part of the next window.
         """
-        window = self._compare(name, found)
-        if window is not None and not window.is_enough():
+        window = self._subtract_last(name, rank_counts)
+        if window is not None and not window.is_sufficient():
             return None
-        self._remember(name, found)
+        self._set_last_read(name, rank_counts)
         return window
 
-    def read_part(
-        self, *, name: str, found: ranks.RankCounts
+    def take_partial_window(
+        self, *, name: str, rank_counts: ranks.RankCounts
     ) -> Window | None:
-        """Return what a rank has counted, however little, to be added up."""
-        window = self._compare(name, found)
-        self._remember(name, found)
+        """Return what a rank has counted, however little, for merging."""
+        window = self._subtract_last(name, rank_counts)
+        self._set_last_read(name, rank_counts)
         return window
 
-    def _remember(self, name: str, found: ranks.RankCounts) -> None:
-        self._seen[name] = _Seen(
-            epoch=found.epoch, born=found.born, counts=found.counts
+    def _set_last_read(self, name: str, rank_counts: ranks.RankCounts) -> None:
+        self._last_reads[name] = _LastRead(
+            epoch=rank_counts.epoch,
+            born=rank_counts.born,
+            counts=rank_counts.counts,
         )
 
-    def _compare(self, name: str, found: ranks.RankCounts) -> Window | None:
-        last = self._seen.get(name)
-        if last is None or len(found.counts) != self._layers * self._experts:
+    def _subtract_last(
+        self, name: str, rank_counts: ranks.RankCounts
+    ) -> Window | None:
+        last = self._last_reads.get(name)
+        if (
+            last is None
+            or len(rank_counts.counts) != self._layers * self._experts
+        ):
             return None
-        if (last.epoch, last.born) != (found.epoch, found.born):
+        if (last.epoch, last.born) != (rank_counts.epoch, rank_counts.born):
             return None
-        if len(last.counts) != len(found.counts):
+        if len(last.counts) != len(rank_counts.counts):
             return None
-        fresh = tuple(new - old for new, old in zip(found.counts, last.counts))
+        fresh = tuple(
+            new - old for new, old in zip(rank_counts.counts, last.counts)
+        )
         return None if min(fresh) < 0 else Window(counts=fresh)
 
     @property
-    def size(self) -> int:
-        """Numbers that one rank counts."""
+    def counter_count(self) -> int:
+        """Number of counters of one rank."""
         return self._layers * self._experts
 
-    def restart(self) -> None:
-        """Forget what was counted before a shift."""
-        self._counted = [0.0] * len(self._counted)
+    def reset(self) -> None:
+        """Drop all counts from before a shift."""
+        self._weighted_counts = [0.0] * len(self._weighted_counts)
 
     def add(self, window: Window, *, now: float) -> None:
-        """Take a window into the estimate."""
-        kept = 0.5 ** ((now - self._added_at) / HALF_LIFE)
-        self._added_at = now
-        self._counted = [
-            kept * old + new for old, new in zip(self._counted, window.counts)
+        """Add a window to the estimate, with older counts decayed."""
+        kept = 0.5 ** ((now - self._updated_at) / HALF_LIFE_SECONDS)
+        self._updated_at = now
+        self._weighted_counts = [
+            kept * old + new
+            for old, new in zip(self._weighted_counts, window.counts)
         ]
 
-    def is_known(self) -> bool:
-        """Whether anything was counted since the last shift."""
-        return any(self._counted)
+    def has_counts(self) -> bool:
+        """Return whether anything was counted since the last shift."""
+        return any(self._weighted_counts)
 
-    def distance(self, window: Window) -> float:
-        """Return the part of the choices that moved, mean of the layers."""
+    def compute_distance(self, window: Window) -> float:
+        """Return the part of the choices that moved, averaged over layers."""
         total = 0.0
         for number in range(self._layers):
-            total += _compare(
+            total += _compute_distance(
                 self.estimate(number), self._slice(window.counts, number)
             )
         return total / self._layers
 
     def estimate(self, layer: int) -> Sequence[float]:
-        """Return the popularity of a layer's experts; even if unknown."""
-        counted = self._slice(self._counted, layer)
+        """Return the popularity of a layer's experts, uniform if unknown."""
+        counted = self._slice(self._weighted_counts, layer)
         return counted if any(counted) else [1.0] * self._experts
 
     def _slice(self, row: Sequence[float], layer: int) -> Sequence[float]:
@@ -196,16 +219,18 @@
 
 
 def merge(windows: Iterable[Window]) -> Window | None:
-    """Return the sum of windows, ``None`` if it is not enough."""
+    """Return the sum of windows, ``None`` if it has too few counts."""
     rows = [window.counts for window in windows]
     if not rows:
         return None
     merged = Window(counts=tuple(map(sum, zip(*rows))))
-    return merged if merged.is_enough() else None
+    return merged if merged.is_sufficient() else None
 
 
-def _compare(first: Sequence[float], second: Sequence[float]) -> float:
-    """Return half the sum of the differences of two sets of shares."""
+def _compute_distance(
+    first: Sequence[float], second: Sequence[float]
+) -> float:
+    """Return the total variation distance of two distributions."""
     all_first = sum(first) or 1.0
     all_second = sum(second) or 1.0
     return 0.5 * sum(
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -1,8 +1,8 @@
-"""Decides when the expert map of a group is changed, and to what.
+"""Decides when to change the expert map of a group, and to what.
 
-Counts are paid for and make the group pause, so few are read while nothing
-changes: those of one rank each second.  When passes take longer, a few ranks
-are counted anew, and the plan is made from these counts alone.
+Reading counts has a cost and pauses the group, so while nothing changes only
+one rank is read, about once a second.  When forward passes get slower, a few
+ranks are sampled again and the plan uses only these new counts.
 """
 
 import math
@@ -21,108 +21,107 @@
 from .. import map_conversation
 from .. import map_moves
 from .. import placement
-from . import demand_monitor
+from . import demand_watch
 from . import endpoints
 from . import expert_demand
 from . import passes as pass_times
 from . import ranks
 
-#: Seconds for which one look for a shift lasts; then the leader looks at the
-#: group again.
-SAMPLE_SECONDS = 1.0
-#: Seconds between two reads of the one rank that is watched, when endpoints
-#: are little used and when they are full.
-WATCH_IDLE = 2.0
-WATCH_FULL = 1.0
-#: Ranks of a group for each one that is watched, and for which the pause is
-#: that long; in a larger group it is shorter, down to a part.  A reading costs
-#: the same in each, and a large group has more to lose by an uneven map.
-RANKS_A_WATCHED = 48
-RANKS_A_PAUSE = 96
-LEAST_PAUSE_PART = 0.5
-#: Seconds between two looks at how long passes last, which cost nothing.
-LOOK_SECONDS = 0.05
-#: Requests that the ranks whose counts a plan is made from can run at once,
-#: when endpoints are little used and when they are full.  Ranks of a large
-#: group run fewer requests each, so more of them are read.
-MEASURED_IDLE = 12.0
-MEASURED_FULL = 36.0
-#: Most of these ranks, as they are read one after the other where each makes
-#: the group pause for long.
-MOST_MEASURED = 6
-#: Seconds that the copies of one change may take on any rank.  With 72 ranks,
-#: 144 experts and 12 layers five copies of 0.016 s a rank bring a skew of 3.2
-#: down to 1.14, and seven to 1.11; meanwhile passes take 15 in 100 longer, and
-#: those are the longest of all.
-COPY_SECONDS = 0.09
-#: Copies that a rank may make even so, and the seconds that these may take.
-#: With three copies of 0.11 s a rank a group of 16 comes from a skew of 2.3
-#: to 3.8 down to 1.12 to 1.2.
-FEW_COPIES = 3
-FEW_COPY_SECONDS = 0.36
-#: Least fall of the mean skew for which a map is changed; a change costs some
+#: Time after which a plan attempt ends, so that the leader checks the group.
+MAX_PLAN_SECONDS = 1.0
+#: Interval between reads of the one rank that is monitored.
+READ_INTERVAL_SECONDS_AT_LOW_UTILIZATION = 2.0
+READ_INTERVAL_SECONDS_AT_HIGH_UTILIZATION = 1.0
+#: One rank is monitored for each 48 ranks of a group.  Groups of more than 96
+#: ranks are read more often, down to half the interval: a read costs the same
+#: in each group, but a large group loses more by an uneven map.
+RANKS_PER_MONITORED_RANK = 48
+MAX_RANKS_FOR_FULL_INTERVAL = 96
+MIN_INTERVAL_FACTOR = 0.5
+#: Interval between checks of the pass duration, which cost nothing.
+PASS_CHECK_INTERVAL_SECONDS = 0.05
+#: Total request slots of the ranks that are sampled for a plan.  Ranks of a
+#: large group run fewer requests each, so more of them are sampled.
+SAMPLED_SLOTS_AT_LOW_UTILIZATION = 12.0
+SAMPLED_SLOTS_AT_HIGH_UTILIZATION = 36.0
+#: Bounded because ranks are read one after the other where each read pauses
+#: the group for long.
+MAX_SAMPLED_RANKS = 6
+#: Time that the copies of one change may take on any rank.  With 72 ranks, 144
+#: experts and 12 layers, five copies of 0.016 s per rank reduce a skew of 3.2
+#: to 1.14, and seven to 1.11; passes take 15 % longer while copies run, and
+#: those are the longest passes of all.
+MAX_COPY_SECONDS = 0.09
+#: A rank may exceed MAX_COPY_SECONDS by this many copies, if they take no
+#: longer than this.  With three copies of 0.11 s per rank, the skew of a group
+#: of 16 falls from between 2.3 and 3.8 to between 1.12 and 1.2.
+MAX_LONG_COPIES = 3
+MAX_LONG_COPY_SECONDS = 0.36
+#: Reduction of the mean skew for which a map is changed; a change takes some
 #: forty orders.
-LEAST_GAIN_IDLE = 0.35
-LEAST_GAIN_FULL = 0.08
-#: The same for a better plan soon after a shift, by what was counted since the
-#: first one.  For half a second after each change no shift is told, as reports
-#: have to show it first: demand that shifted just then was planned for 1.2 s
-#: later instead of 0.6 s, and a fall from 1.25 to 1.07 costs as many copies as
-#: one from 3.0 to 1.17.
-LEAST_REFINED_GAIN = 0.25
-#: Least fall of the mean skew for a copy of an expert to one rank in so many,
-#: when endpoints are little used and when they are full.  A copy costs the
-#: same on both, but an even group serves many more requests in time when it
-#: is full; and in a larger group it costs a smaller part of what is served.
-GAIN_A_COPY_IDLE = 0.4
-GAIN_A_COPY_FULL = 0.0224
-#: Seconds of a copy for which these hold, and the least part of them.  Where a
-#: copy takes 2.6 ms, an even map is as cheap for a little used group, which is
-#: then full of requests in time when demand shifts.
-USUAL_COPY_SECONDS = 0.11
-LEAST_COPY_PART = 0.15
-#: Use up to which a group counts as little used, and from which on it counts
-#: as full: the part in use of what it may run at once, or the pauses of its
-#: streams as a part of the accepted ones, whichever is higher.  What it may
-#: run counts, not its slots: a group that is kept below its slots for its
-#: pauses needs an even map most, and its pauses no longer show it.
-IDLE_USE = 0.4
-FULL_USE = 0.65
-#: Moves that are tried in one layer for each rank, and ranks that each one
-#: may go to.  From a first map of 72 ranks, 144 experts and 3 places the
-#: search ends after some 55 moves at a skew of 1.1; 24 leave it at 1.3, and
-#: more than 6 other ranks lead nowhere else.
+MIN_GAIN_AT_LOW_UTILIZATION = 0.35
+MIN_GAIN_AT_HIGH_UTILIZATION = 0.08
+#: Reduction of the mean skew for which a plan is refined by what was counted
+#: since the first plan after a shift.  Shifts are not detected for 0.5 s after
+#: each change, until reports show it: demand that shifts in that time is
+#: planned for after 1.2 s instead of 0.6 s.  A reduction from 1.25 to 1.07
+#: takes as many copies as one from 3.0 to 1.17.
+MIN_REFINEMENT_GAIN = 0.25
+#: Reduction of the mean skew required for one copy on each rank.  A copy costs
+#: the same at any utilization, but an even group serves many more requests in
+#: time when it is full.  In a larger group one copy costs a smaller part of
+#: what is served.
+MIN_GAIN_PER_COPY_AT_LOW_UTILIZATION = 0.4
+MIN_GAIN_PER_COPY_AT_HIGH_UTILIZATION = 0.0224
+#: Duration of a copy for which these hold; they are scaled down for quicker
+#: copies, to no less than this factor.  Where a copy takes 2.6 ms, an even map
+#: is cheap also at low utilization, and the group is then full of requests
+#: that are in time when demand shifts.
+REFERENCE_COPY_SECONDS = 0.11
+MIN_COPY_COST_FACTOR = 0.15
+#: Bounds between which the values above are interpolated.  Utilization is the
+#: part of the group's concurrency limit that is in use or the pauses of its
+#: streams as a part of the accepted ones, whichever is higher.  The limit
+#: counts instead of the slots: a group that is limited below its slots because
+#: of its pauses needs an even map most, and its pauses no longer show it.
+LOW_UTILIZATION = 0.4
+HIGH_UTILIZATION = 0.65
+#: Moves tried in one layer for each rank, and other ranks tried for each move.
+#: From the initial map of 72 ranks, 144 experts and 3 slots for experts, the
+#: search ends after some 55 moves at a skew of 1.1; 24 moves leave it at 1.3,
+#: and more than 6 other ranks give no better result.
 MAX_MOVES_PER_RANK = 1.5
 MAX_TARGET_RANKS = 6
-#: What copies take over what the size and the link say: four copies of 0.111 s
-#: were ready after 0.52 to 0.56 s.
-COPY_MARGIN = 1.25
-#: Seconds after which a preparation is given up.
-PREPARE_SECONDS = 4.0
+#: Factor on the copy time computed from size and link rate: four copies of
+#: 0.111 s take 0.52 to 0.56 s.
+COPY_TIME_MARGIN = 1.25
+#: Time after which a preparation is abandoned.
+MAX_PREPARE_SECONDS = 4.0
 
 
 class ExpertPlanner:
-    """Plans for one group, see :class:`.map_leader.Planner`.
-
-    :param find: returns the endpoint of a name.
-    :param spare: new experts that a rank can copy in each layer.
-    :param slots: requests that a rank runs at once.
-    :param seconds_a_copy: time in which a rank copies one expert.
-    :param use: returns the use of the group, see :data:`IDLE_USE`.
-    :param passes: how long the passes of the group last.
-    :param slow_ranks: returns the pace of ranks that are slow.
+    """Plans expert maps of one group, see :class:`.map_leader.Planner`.
+
+    :param max_new_experts: new experts that a rank can copy in each layer.
+    :param slots: concurrent requests of a rank.
+    :param find_endpoint: returns the endpoint with a name.
+    :param utilization: returns the utilization of the group, see
+        :data:`LOW_UTILIZATION`.
+    :param passes: durations of the group's forward passes.
+    :param slow_ranks: returns the slowdown factor of each slow rank.
+    :param copy_seconds: time in which a rank copies one expert, 0 if unknown.
     """
 
     __slots__ = (
         '_shape',
-        '_spare',
+        '_max_new_experts',
         '_slots',
-        '_use',
+        '_utilization',
         '_slow_ranks',
         '_clock',
-        '_seconds_a_copy',
+        '_copy_seconds',
         '_watch',
-        '_slow_planned',
+        '_planned_slow_ranks',
     )
 
     def __init__(
@@ -130,32 +129,32 @@
         *,
         api: ranks.RankApi,
         shape: expert_maps.Shape,
-        spare: int,
+        max_new_experts: int,
         slots: float,
-        find: Callable[[str], endpoints.Endpoint | None],
-        use: Callable[[], float],
+        find_endpoint: Callable[[str], endpoints.Endpoint | None],
+        utilization: Callable[[], float],
         passes: pass_times.PassTimes,
         slow_ranks: Callable[[], dict[int, float]],
         clock: Callable[[], float],
-        seconds_a_copy: float = 0.0,
+        copy_seconds: float = 0.0,
     ) -> None:
-        self._use = use
+        self._utilization = utilization
         self._slow_ranks = slow_ranks
         self._shape = shape
-        self._spare = spare
+        self._max_new_experts = max_new_experts
         self._slots = slots
-        self._seconds_a_copy = seconds_a_copy
+        self._copy_seconds = copy_seconds
         self._clock = clock
-        self._watch = demand_monitor.DemandMonitor(
+        self._watch = demand_watch.DemandWatch(
             api=api,
             demand=expert_demand.ExpertDemand(
                 layers=shape.layers, experts=shape.experts
             ),
-            find=find,
+            find_endpoint=find_endpoint,
             passes=passes,
             clock=clock,
         )
-        self._slow_planned: frozenset[int] = frozenset()
+        self._planned_slow_ranks: frozenset[int] = frozenset()
 
     async def plan(
         self,
@@ -163,72 +162,91 @@
         expert_map: expert_maps.ExpertMap,
         conversation: map_conversation.Conversation,
     ) -> map_changes.Plan | None:
-        """Return the change to make now, if any; watch for a while."""
-        until = self._clock() + SAMPLE_SECONDS
+        """Monitor demand for a while; return the change to make, if any."""
+        until = self._clock() + MAX_PLAN_SECONDS
 
-        def find_skew(window: expert_demand.Window) -> float:
-            return self._find_skew(expert_map, window)
+        def compute_skew(window: expert_demand.Window) -> float:
+            return self._compute_skew(expert_map, window)
 
         while True:
-            use = self._use()
-            names = self._choose(conversation, use)
-            if self._are_newly_slow():
-                return await self._search(expert_map)
-            pause = self._find_pause(use)
-            if use and await self._watch.measure_first(names, pause):
-                return await self._search(expert_map)
-            if self._watch.are_passes_longer():
-                if not await self._watch.measure(names, find_skew):
-                    # A rank may have turned slow; its report says so.
+            utilization = self._utilization()
+            names = self._choose_sampled_ranks(conversation, utilization)
+            if self._has_new_slow_ranks():
+                return await self._search_map(expert_map)
+            interval = self._choose_read_interval(utilization)
+            if utilization and await self._watch.measure_initially(
+                names, interval
+            ):
+                return await self._search_map(expert_map)
+            if self._watch.have_passes_slowed():
+                if not await self._watch.measure(names, compute_skew):
+                    # A rank may have become slow, which its report shows.
                     return None
-                return await self._search(expert_map)
-            match await self._watch.look(
-                names, self._count_watched(), pause, find_skew
+                return await self._search_map(expert_map)
+            match await self._watch.check(
+                names, self._count_monitored_ranks(), interval, compute_skew
             ):
-                case demand_monitor.Sign.SHIFTED | demand_monitor.Sign.DRIFTED:
-                    return await self._search(expert_map)
-                case demand_monitor.Sign.COUNTED:
-                    return await self._search(expert_map, LEAST_REFINED_GAIN)
-            if self._clock() + LOOK_SECONDS > until:
+                case (
+                    demand_watch.ReplanReason.SHIFTED
+                    | demand_watch.ReplanReason.DRIFTED
+                ):
+                    return await self._search_map(expert_map)
+                case demand_watch.ReplanReason.COUNTED:
+                    return await self._search_map(
+                        expert_map, MIN_REFINEMENT_GAIN
+                    )
+            if self._clock() + PASS_CHECK_INTERVAL_SECONDS > until:
                 return None
-            await anyio.sleep(LOOK_SECONDS)
+            await anyio.sleep(PASS_CHECK_INTERVAL_SECONDS)
 
     def ended(self, *, plan: map_changes.Plan, done: bool) -> None:
-        """Learn whether a change took place."""
+        """Log whether a change was completed."""
         logging.info('map change ended', extra=logs.fields(done=done))
 
-    def _choose(
-        self, talk: map_conversation.Conversation, use: float
+    def _choose_sampled_ranks(
+        self, conversation: map_conversation.Conversation, utilization: float
     ) -> list[str]:
-        """Return the ranks to read; the first ones are watched."""
-        # A slow rank gets no requests, so it counts nothing.
-        slow = {talk.find_agent(rank) for rank in self._slow_ranks()}
-        names = sorted(talk.members())
+        """Return the ranks to sample; the first ones are monitored."""
+        # Slow ranks get no requests, so their counts do not change.
+        slow = {conversation.find_agent(rank) for rank in self._slow_ranks()}
+        names = sorted(conversation.members())
         known = [name for name in names if name not in slow] or names
-        places = _weigh(use, MEASURED_IDLE, MEASURED_FULL)
-        return known[: min(MOST_MEASURED, math.ceil(places / self._slots))]
+        slots = _interpolate(
+            utilization,
+            SAMPLED_SLOTS_AT_LOW_UTILIZATION,
+            SAMPLED_SLOTS_AT_HIGH_UTILIZATION,
+        )
+        return known[: min(MAX_SAMPLED_RANKS, math.ceil(slots / self._slots))]
 
-    def _are_newly_slow(self) -> bool:
-        """Whether ranks have turned slow that the last plan used."""
+    def _has_new_slow_ranks(self) -> bool:
+        """Return whether ranks became slow since the last plan."""
         slow = frozenset(self._slow_ranks())
-        return self._watch.demand.is_known() and not slow <= self._slow_planned
+        return (
+            self._watch.demand.has_counts()
+            and not slow <= self._planned_slow_ranks
+        )
 
-    def _count_copies(self) -> list[int]:
-        """Return how many experts each rank may copy in one change."""
-        most = self._spare * self._shape.layers
-        if self._seconds_a_copy:
-            few = min(FEW_COPIES, int(FEW_COPY_SECONDS / self._seconds_a_copy))
-            most = max(1, few, int(COPY_SECONDS / self._seconds_a_copy))
-        return [most] * self._shape.ranks
+    def _compute_copy_limits(self) -> list[int]:
+        """Return the maximum number of copies per rank in one change."""
+        limit = self._max_new_experts * self._shape.layers
+        if self._copy_seconds:
+            long_copies = min(
+                MAX_LONG_COPIES,
+                int(MAX_LONG_COPY_SECONDS / self._copy_seconds),
+            )
+            limit = max(
+                1, long_copies, int(MAX_COPY_SECONDS / self._copy_seconds)
+            )
+        return [limit] * self._shape.ranks
 
-    def _find_skew(
+    def _compute_skew(
         self, expert_map: expert_maps.ExpertMap, window: expert_demand.Window
     ) -> float:
-        """Return the mean skew of the layers for what a window counted."""
+        """Return the mean skew of the layers for the counts of a window."""
         slow = self._slow_ranks()
         experts = self._shape.experts
         return statistics.fmean(
-            _weigh_skew(
+            _compute_layer_skew(
                 layer,
                 window.counts[number * experts : (number + 1) * experts],
                 slow,
@@ -236,22 +254,30 @@
             for number, layer in enumerate(expert_map.layers)
         )
 
-    def _find_pause(self, use: float) -> float:
-        """Return the seconds between two looks for a shift by counts."""
-        part = RANKS_A_PAUSE / self._shape.ranks
-        part = min(1.0, max(LEAST_PAUSE_PART, part))
-        return part * _weigh(use, WATCH_IDLE, WATCH_FULL)
+    def _choose_read_interval(self, utilization: float) -> float:
+        """Return the seconds between reads of counts."""
+        part = MAX_RANKS_FOR_FULL_INTERVAL / self._shape.ranks
+        part = min(1.0, max(MIN_INTERVAL_FACTOR, part))
+        return part * _interpolate(
+            utilization,
+            READ_INTERVAL_SECONDS_AT_LOW_UTILIZATION,
+            READ_INTERVAL_SECONDS_AT_HIGH_UTILIZATION,
+        )
 
-    def _count_watched(self) -> int:
-        return max(1, self._shape.ranks // RANKS_A_WATCHED)
+    def _count_monitored_ranks(self) -> int:
+        return max(1, self._shape.ranks // RANKS_PER_MONITORED_RANK)
 
-    def _find_gain_a_copy(self, use: float) -> float:
-        """Return the least fall of a layer's skew for one copy."""
-        gain = _weigh(use, GAIN_A_COPY_IDLE, GAIN_A_COPY_FULL)
+    def _choose_min_gain_per_copy(self, utilization: float) -> float:
+        """Return the reduction of a layer's skew required for one copy."""
+        gain = _interpolate(
+            utilization,
+            MIN_GAIN_PER_COPY_AT_LOW_UTILIZATION,
+            MIN_GAIN_PER_COPY_AT_HIGH_UTILIZATION,
+        )
         part = 1.0
-        if self._seconds_a_copy:
-            part = self._seconds_a_copy / USUAL_COPY_SECONDS
-        part = min(1.0, max(LEAST_COPY_PART, part))
+        if self._copy_seconds:
+            part = self._copy_seconds / REFERENCE_COPY_SECONDS
+        part = min(1.0, max(MIN_COPY_COST_FACTOR, part))
         return gain * part * self._shape.layers / self._shape.ranks
 
     def _evacuate(
@@ -260,42 +286,47 @@
         popularity: Sequence[float],
         slow: dict[int, float],
     ) -> expert_maps.Layer:
-        """Return the layer without experts on slow ranks, if it can be."""
+        """Return the layer with experts moved off slow ranks if possible."""
         if not slow:
             return layer
         return evacuation.Evacuation(
             layer=layer,
             popularity=popularity,
             slots=self._shape.slots,
-            most_new=self._spare,
+            most_new=self._max_new_experts,
             slow=slow,
         ).empty()
 
-    async def _search(
-        self, expert_map: expert_maps.ExpertMap, least_gain: float = 0.0
+    async def _search_map(
+        self, expert_map: expert_maps.ExpertMap, min_gain: float = 0.0
     ) -> map_changes.Plan | None:
-        """Look for moves that are worth their copies.
+        """Search for moves whose gain is worth their copies.
 
-        :param least_gain: least fall of the mean skew besides.
+        :param min_gain: additional lower bound on the gain in mean skew.
         """
-        self._watch.note_planned()
-        use = self._use()
+        self._watch.mark_planned()
+        utilization = self._utilization()
         slow = self._slow_ranks()
-        self._slow_planned = frozenset(slow)
-        popular = [
+        self._planned_slow_ranks = frozenset(slow)
+        popularities = [
             self._watch.demand.estimate(number)
             for number in range(self._shape.layers)
         ]
         new = await map_moves.MapSearch(
-            searches=self._begin_searches(expert_map, popular, slow),
-            gain_a_copy=self._find_gain_a_copy(use),
+            searches=self._create_searches(expert_map, popularities, slow),
+            gain_a_copy=self._choose_min_gain_per_copy(utilization),
             most_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
         ).improve()
-        before = mean_skew(expert_map.layers, popular, slow)
-        after = mean_skew(new, popular, slow)
+        before = mean_skew(expert_map.layers, popularities, slow)
+        after = mean_skew(new, popularities, slow)
         copies = placement.count_loads(old=expert_map.layers, new=new)
         changes = before - after >= max(
-            least_gain, _weigh(use, LEAST_GAIN_IDLE, LEAST_GAIN_FULL)
+            min_gain,
+            _interpolate(
+                utilization,
+                MIN_GAIN_AT_LOW_UTILIZATION,
+                MIN_GAIN_AT_HIGH_UTILIZATION,
+            ),
         )
         logging.info(
             'map considered',
@@ -304,42 +335,42 @@
                 skew=round(before, 3),
                 skew_after=round(after, 3),
                 copies=copies,
-                use=round(use, 3),
+                use=round(utilization, 3),
                 slow_ranks=len(slow),
                 changes=changes,
             ),
         )
         if changes:
-            self._watch.note_skew(after)
-        elif not least_gain or not self._watch.has_planned():
-            self._watch.note_skew(before)
+            self._watch.set_planned_skew(after)
+        elif not min_gain or not self._watch.has_planned_skew():
+            self._watch.set_planned_skew(before)
         if not changes:
             return None
         return map_changes.Plan(
             layers=new,
-            load_limit=PREPARE_SECONDS,
-            load_seconds=self._time_copies(expert_map.layers, new),
+            load_limit=MAX_PREPARE_SECONDS,
+            load_seconds=self._estimate_copy_seconds(expert_map.layers, new),
         )
 
-    def _begin_searches(
+    def _create_searches(
         self,
         expert_map: expert_maps.ExpertMap,
-        popular: Sequence[Sequence[float]],
+        popularities: Sequence[Sequence[float]],
         slow: dict[int, float],
     ) -> list[layer_moves.LayerSearch]:
-        """Return a search for each layer, with slow ranks emptied."""
-        copies_left = self._count_copies()
+        """Return a search per layer, starting with slow ranks evacuated."""
+        copies_left = self._compute_copy_limits()
         searches = []
-        for layer, popularity in zip(expert_map.layers, popular):
-            emptied = self._evacuate(layer, popularity, slow)
-            for rank, held in enumerate(emptied):
+        for layer, popularity in zip(expert_map.layers, popularities):
+            evacuated = self._evacuate(layer, popularity, slow)
+            for rank, held in enumerate(evacuated):
                 copies_left[rank] -= len(set(held) - set(layer[rank]))
             searches.append(
                 layer_moves.LayerSearch(
-                    layer=emptied,
+                    layer=evacuated,
                     popularity=popularity,
                     slots=self._shape.slots,
-                    most_new=self._spare,
+                    most_new=self._max_new_experts,
                     most_others=MAX_TARGET_RANKS,
                     copies_left=copies_left,
                     first=layer,
@@ -348,25 +379,25 @@
             )
         return searches
 
-    def _time_copies(
+    def _estimate_copy_seconds(
         self,
         old: Sequence[expert_maps.Layer],
         new: Sequence[expert_maps.Layer],
     ) -> float | None:
-        """Return the seconds after which all ranks should have copied."""
-        if not self._seconds_a_copy:
+        """Return the expected seconds until all ranks have copied."""
+        if not self._copy_seconds:
             return None
-        most = max(
+        copies = max(
             sum(
                 len(set(after[rank]) - set(before[rank]))
                 for before, after in zip(old, new)
             )
             for rank in range(self._shape.ranks)
         )
-        return most * self._seconds_a_copy * COPY_MARGIN
+        return copies * self._copy_seconds * COPY_TIME_MARGIN
 
 
-def _weigh_skew(
+def _compute_layer_skew(
     layer: expert_maps.Layer,
     popularity: Sequence[float],
     slow: dict[int, float],
@@ -380,19 +411,26 @@
     return max(times) * (len(loads) - len(slow)) / total
 
 
-def _weigh(use: float, idle: float, full: float) -> float:
-    """Return the value between two that fits the use of a group."""
-    part = min(1.0, max(0.0, (use - IDLE_USE) / (FULL_USE - IDLE_USE)))
-    return float(idle * (full / idle) ** part)
+def _interpolate(utilization: float, low: float, high: float) -> float:
+    """Interpolate geometrically between two values by utilization."""
+    part = min(
+        1.0,
+        max(
+            0.0,
+            (utilization - LOW_UTILIZATION)
+            / (HIGH_UTILIZATION - LOW_UTILIZATION),
+        ),
+    )
+    return float(low * (high / low) ** part)
 
 
 def mean_skew(
     layers: Sequence[expert_maps.Layer],
-    popular: Sequence[Sequence[float]],
+    popularities: Sequence[Sequence[float]],
     slow: dict[int, float],
 ) -> float:
-    """Return the mean skew of layers."""
+    """Return the mean skew of layers, with slow ranks weighted."""
     return statistics.fmean(
-        _weigh_skew(layer, popularity, slow)
-        for layer, popularity in zip(layers, popular)
+        _compute_layer_skew(layer, popularity, slow)
+        for layer, popularity in zip(layers, popularities)
     )
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -96,7 +96,7 @@
         '_api',
         '_group',
         '_shape',
-        '_find',
+        '_find_endpoint',
         '_fenced',
         '_clock',
         '_sleep',
@@ -111,7 +111,7 @@
         api: ranks.RankApi,
         group: str,
         shape: expert_maps.Shape,
-        find: Callable[[str], endpoints.Endpoint | None],
+        find_endpoint: Callable[[str], endpoints.Endpoint | None],
         clock: Callable[[], float],
         fenced: bool = True,
         sleep: Sleep = anyio.sleep,
@@ -119,7 +119,7 @@
         self._api = api
         self._group = group
         self._shape = shape
-        self._find = find
+        self._find_endpoint = find_endpoint
         self._fenced = fenced
         self._clock = clock
         self._sleep = sleep
@@ -164,7 +164,7 @@
         Its entry may lapse for a second or two though it goes on.  Given up
         in the middle of a change, the group would stand all the while.
         """
-        listed = self._find(name)
+        listed = self._find_endpoint(name)
         if listed is not None:
             link.endpoint = listed
         return link.endpoint
@@ -352,7 +352,7 @@
         held: dict[int, tuple[tuple[int, ...], ...]] = {}
 
         async def ask(name: str, rank: int) -> None:
-            endpoint = self._find(name)
+            endpoint = self._find_endpoint(name)
             if endpoint is None:
                 return
             found = await self._api.experts(
--- a/tests/gateway/test_expert_demand.py
+++ b/tests/gateway/test_expert_demand.py
@@ -86,30 +86,35 @@
     draw = random.Random(seed)
     profiles = [make_profile(draw) for _ in range(LAYERS)]
     demand, rank = make_demand(), Rank()
-    demand.read(name='r', found=rank.answer())
+    demand.take_window(name='r', rank_counts=rank.answer())
     for number in range(1, 9):
         rank.add(count(draw, profiles))
-        window = demand.read(name='r', found=rank.answer())
-        if demand.is_known():
-            assert demand.distance(window) <= expert_demand.SHIFT
+        window = demand.take_window(name='r', rank_counts=rank.answer())
+        if demand.has_counts():
+            assert (
+                demand.compute_distance(window)
+                <= expert_demand.MAX_DISTANCE_THRESHOLD
+            )
         demand.add(window, now=0.25 * number)
     shifted = [shift(draw, profile, part) for profile in profiles]
     rank.add(count(draw, shifted))
-    window = demand.read(name='r', found=rank.answer())
-    assert (demand.distance(window) > expert_demand.SHIFT) is (part > 0.0)
+    window = demand.take_window(name='r', rank_counts=rank.answer())
+    assert (
+        demand.compute_distance(window) > expert_demand.MAX_DISTANCE_THRESHOLD
+    ) is (part > 0.0)
 
 
 def test_counts_before_a_shift_are_forgotten():
     draw = random.Random(1)
     demand, rank = make_demand(), Rank()
     for number in range(6):
-        window = demand.read(name='r', found=rank.answer())
+        window = demand.take_window(name='r', rank_counts=rank.answer())
         if window is not None:
             demand.add(window, now=number)
         profile = make_profile(draw)
         rank.add([round(1e4 * one) for one in profile * LAYERS])
-    window = demand.read(name='r', found=rank.answer())
-    demand.restart()
+    window = demand.take_window(name='r', rank_counts=rank.answer())
+    demand.reset()
     demand.add(window, now=7.0)
     popular = demand.estimate(0)
     assert popular.index(max(popular)) == profile.index(max(profile))
@@ -127,10 +132,10 @@
 def test_counts_of_two_starts_are_not_compared(epoch, born, counts):
     demand, rank = make_demand(), Rank()
     rank.add([1000] * LAYERS * EXPERTS)
-    demand.read(name='r', found=rank.answer())
+    demand.take_window(name='r', rank_counts=rank.answer())
     rank.epoch, rank.born = epoch, born
     rank.add([100 * counts] * LAYERS * EXPERTS)
-    assert demand.read(name='r', found=rank.answer()) is None
+    assert demand.take_window(name='r', rank_counts=rank.answer()) is None
 
 
 def test_windows_of_ranks_with_few_requests_are_added_up():
@@ -146,26 +151,28 @@
     windows = []
     for number in range(12):
         rank = Rank()
-        demand.read_part(name=str(number), found=rank.answer())
+        demand.take_partial_window(name=str(number), rank_counts=rank.answer())
         rank.add([one // 12 for one in count(draw, profiles)])
-        window = demand.read_part(name=str(number), found=rank.answer())
-        assert not window.is_enough()
+        window = demand.take_partial_window(
+            name=str(number), rank_counts=rank.answer()
+        )
+        assert not window.is_sufficient()
         windows.append(window)
     merged = expert_demand.merge(windows)
-    assert merged.is_enough()
+    assert merged.is_sufficient()
     demand.add(merged, now=1.0)
-    assert demand.is_known()
+    assert demand.has_counts()
     assert expert_demand.merge(windows[:1]) is None
     assert expert_demand.merge([]) is None
 
 
 def test_little_that_one_rank_counts_is_kept_for_its_next_window():
     demand, rank = make_demand(), Rank()
-    demand.read(name='r', found=rank.answer())
+    demand.take_window(name='r', rank_counts=rank.answer())
     size = LAYERS * EXPERTS
     for _ in range(3):
         rank.add([3] * size)
-        window = demand.read(name='r', found=rank.answer())
+        window = demand.take_window(name='r', rank_counts=rank.answer())
     assert window.counts == (9,) * size
 
 
@@ -186,7 +193,7 @@
     by 0.06 with nothing changed.
     Cause: a limit that windows of one rank of sixteen need.
     """
-    chance = expert_demand.Chance(most=0.22, least=0.08)
+    chance = expert_demand.AdaptiveThreshold(maximum=0.22, minimum=0.08)
     for distance in usual:
-        chance.note(distance)
+        chance.record(distance)
     assert chance.limit() == pytest.approx(limit, abs=0.002)
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -7,7 +7,7 @@
 import virtual_time
 
 from marigoldramp import expert_maps
-from marigoldramp.gateway import demand_monitor
+from marigoldramp.gateway import demand_watch
 from marigoldramp.gateway import expert_planner
 from marigoldramp.gateway import passes
 from marigoldramp.gateway import rank_transport
@@ -39,7 +39,7 @@
         return self.names[rank]
 
 
-def make_planner(use, slow=None, shape=SHAPE, **more):
+def make_planner(utilization, slow=None, shape=SHAPE, **more):
     group = fake_ranks.FakeGroup(
         size=shape.ranks,
         experts=shape.experts,
@@ -49,10 +49,10 @@
     planner = expert_planner.ExpertPlanner(
         api=group,
         shape=shape,
-        spare=SPARE,
+        max_new_experts=SPARE,
         slots=6,
-        find=group.find,
-        use=lambda: use,
+        find_endpoint=group.find,
+        utilization=lambda: utilization,
         passes=passes.PassTimes(clock=virtual_time.now),
         slow_ranks=lambda: {} if slow is None else slow,
         clock=virtual_time.now,
@@ -73,7 +73,7 @@
     plan = None
     current = rank_transport.initial_map(shape=SHAPE)
     for _ in range(times):
-        await anyio.sleep(expert_planner.SAMPLE_SECONDS)
+        await anyio.sleep(expert_planner.MAX_PLAN_SECONDS)
         count(group, weights)
         plan = (
             await planner.plan(
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ('weights', 'use', 'changes'),
+    ('weights', 'utilization', 'changes'),
     [
         (EVEN, 0.0, False),
         (EVEN, 1.0, False),
@@ -100,8 +100,10 @@
         (SLIGHT, 1.0, True),
     ],
 )
-async def test_change_has_to_be_worth_its_copies(weights, use, changes):
-    planner, group = make_planner(use)
+async def test_change_has_to_be_worth_its_copies(
+    weights, utilization, changes
+):
+    planner, group = make_planner(utilization)
     plan = await decide(planner, group, weights)
     assert (plan is not None) is changes
 
@@ -114,7 +116,7 @@
     demand shifts while more requests come.
     Cause: copies of 2.6 ms were weighed like those of 0.11 s.
     """
-    planner, group = make_planner(0.3, seconds_a_copy=seconds)
+    planner, group = make_planner(0.3, copy_seconds=seconds)
     plan = await decide(planner, group, [100, 400] * (SHAPE.experts // 2))
     assert plan is not None or not even
     if plan is not None:
@@ -182,24 +184,26 @@
             count(group, weights)
             await anyio.sleep(0.05)
 
-    async def find_no_shift(names, find_skew):
+    async def find_no_shift(names, compute_skew):
         return False
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
-        await watch.measure_first(names, 0.0)
-        watch.note_planned()
-        watch.note_skew(1.0)
-        await anyio.sleep(demand_monitor.REFINE_SECONDS)
+        await watch.measure_initially(names, 0.0)
+        watch.mark_planned()
+        watch.set_planned_skew(1.0)
+        await anyio.sleep(demand_watch.REFINE_AFTER_SECONDS)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(
-                demand_monitor.DemandMonitor,
+                demand_watch.DemandWatch,
                 'measure',
-                lambda self, names, find_skew: find_no_shift(names, find_skew),
+                lambda self, names, compute_skew: find_no_shift(
+                    names, compute_skew
+                ),
             )
-            sign = await watch.look(names, 1, 0.0, lambda window: 9.0)
+            sign = await watch.check(names, 1, 0.0, lambda window: 9.0)
         tasks.cancel_scope.cancel()
-    assert sign is demand_monitor.Sign.COUNTED
+    assert sign is demand_watch.ReplanReason.COUNTED
 
 
 @pytest.mark.parametrize(
@@ -225,21 +229,23 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
-        talk = Talk(group.names())
+        conversation = Talk(group.names())
         first = rank_transport.initial_map(shape=SHAPE)
-        await planner.plan(expert_map=first, conversation=talk)
+        await planner.plan(expert_map=first, conversation=conversation)
         # Of one rank's experts, which the plan before took for even.
         weights[0] = seen_since
         plan = None
-        until = virtual_time.now() + demand_monitor.REFINE_SECONDS + 0.3
+        until = virtual_time.now() + demand_watch.REFINE_AFTER_SECONDS + 0.3
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(
-                demand_monitor.DemandMonitor,
+                demand_watch.DemandWatch,
                 '_shows_shift',
-                lambda self, window, signs, find_skew: False,
+                lambda self, window, thresholds, compute_skew: False,
             )
             while plan is None and virtual_time.now() < until:
-                plan = await planner.plan(expert_map=first, conversation=talk)
+                plan = await planner.plan(
+                    expert_map=first, conversation=conversation
+                )
         tasks.cancel_scope.cancel()
     assert (plan is not None) is changes
 
@@ -261,20 +267,20 @@
         ranks=16, experts=experts, layers=layers, slots=24
     )
     planner, group = make_planner(1.0, shape=shape)
-    reading = most = 0
+    reading = max_reading = 0
 
     async def counts(*, address, identity):
-        nonlocal reading, most
+        nonlocal reading, max_reading
         reading += 1
-        most = max(most, reading)
+        max_reading = max(max_reading, reading)
         await anyio.sleep(0.01)
         reading -= 1
         return ranks.NoReply(detail='not asked for here')
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(group, 'counts', counts)
-        await planner._watch._read(group.names())
-    assert most == at_once
+        await planner._watch._read_ranks(group.names())
+    assert max_reading == at_once
 
 
 async def test_new_leader_plans_from_its_first_counts():
@@ -301,7 +307,7 @@
         )
         tasks.cancel_scope.cancel()
     assert plan is not None
-    assert virtual_time.now() - began < 2 * demand_monitor.MEASURE_SECONDS
+    assert virtual_time.now() - began < 2 * demand_watch.MEASURE_WINDOW_SECONDS
 
 
 @pytest.mark.parametrize('turned', [frozenset(), frozenset({2})])
@@ -347,8 +353,12 @@
             assert len(set(wanted) - set(held)) <= SPARE
 
 
-@pytest.mark.parametrize(('seconds', 'most'), [(0.0, 4), (0.11, 3), (0.3, 1)])
-async def test_no_rank_copies_for_longer_than_the_others_wait(seconds, most):
+@pytest.mark.parametrize(
+    ('seconds', 'max_copies'), [(0.0, 4), (0.11, 3), (0.3, 1)]
+)
+async def test_no_rank_copies_for_longer_than_the_others_wait(
+    seconds, max_copies
+):
     """A group stays uneven for a second after a plan was made.
 
     Sequence: requests ask for other experts; the plan gives one rank eight
@@ -357,7 +367,7 @@
     """
     draw = random.Random(3)
     weights = [int(3000 / (1 + draw.randrange(40))) for _ in EVEN]
-    planner, group = make_planner(1.0, seconds_a_copy=seconds)
+    planner, group = make_planner(1.0, copy_seconds=seconds)
     plan = await decide(planner, group, weights)
     old = rank_transport.initial_map(shape=SHAPE)
     copies = [
@@ -367,10 +377,10 @@
         )
         for rank in range(SHAPE.ranks)
     ]
-    assert 0 < max(copies) <= most
+    assert 0 < max(copies) <= max_copies
     if seconds:
         assert plan.load_seconds == pytest.approx(
-            max(copies) * seconds * expert_planner.COPY_MARGIN
+            max(copies) * seconds * expert_planner.COPY_TIME_MARGIN
         )
     else:
         assert plan.load_seconds is None
@@ -388,8 +398,8 @@
     assert list(planner._watch.demand.estimate(0)) == known
 
 
-@pytest.mark.parametrize('most', [0, 1, 2])
-def test_search_keeps_to_the_bound_of_new_experts(most):
+@pytest.mark.parametrize('max_new', [0, 1, 2])
+def test_search_keeps_to_the_bound_of_new_experts(max_new):
     layer = tuple(
         tuple(range(rank, SHAPE.experts, SHAPE.ranks))
         for rank in range(SHAPE.ranks)
@@ -398,16 +408,16 @@
         layer=layer,
         popularity=[1.0 / (1 + number) for number in range(SHAPE.experts)],
         slots=SHAPE.slots,
-        most_new=most,
+        most_new=max_new,
     )
     while (move := search.find()) is not None:
         search.apply(move)
     for held, found in zip(layer, search.layer()):
-        assert len(set(found) - set(held)) <= most
+        assert len(set(found) - set(held)) <= max_new
 
 
 @pytest.mark.parametrize(
-    ('use', 'slow', 'left'),
+    ('utilization', 'slow', 'left'),
     [
         (1.0, {3: 1.6}, 0),
         (0.0, {3: 4.0}, 0),
@@ -416,14 +426,14 @@
         (1.0, {3: 4.0, 5: 4.0}, 2),
     ],
 )
-async def test_slow_ranks_get_no_experts(use, slow, left):
+async def test_slow_ranks_get_no_experts(utilization, slow, left):
     """Every stream of a group is late while one rank computes slowly.
 
     Sequence: a rank turns slow; requests are kept away from it; each pass
     still waits for its experts.
     Cause: the search evens out the numbers of tokens, not their time.
     """
-    planner, group = make_planner(use, slow)
+    planner, group = make_planner(utilization, slow)
     plan = await decide(planner, group, EVEN)
     assert plan is not None
     for layer in plan.layers:
@@ -439,7 +449,7 @@
     )
     current = expert_maps.ExpertMap(version=first.version, layers=layers)
     for _ in range(4):
-        await anyio.sleep(expert_planner.SAMPLE_SECONDS)
+        await anyio.sleep(expert_planner.MAX_PLAN_SECONDS)
         count(group, EVEN)
         plan = await planner.plan(
             expert_map=current, conversation=Talk(group.names())
@@ -467,7 +477,7 @@
     ]
     plan = None
     for _ in range(12):
-        await anyio.sleep(expert_planner.SAMPLE_SECONDS)
+        await anyio.sleep(expert_planner.MAX_PLAN_SECONDS)
         for counts in group.counts_now:
             for number, weight in enumerate(weights):
                 counts[number] += weight
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -143,7 +143,7 @@
                 api=self,
                 group='g',
                 shape=SHAPE,
-                find=self.find,
+                find_endpoint=self.find,
                 clock=virtual_time.now,
                 fenced=False,
             ),
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -99,7 +99,7 @@
         api=group,
         group='g',
         shape=SHAPE,
-        find=group.find,
+        find_endpoint=group.find,
         clock=virtual_time.now,
         fenced=group.checks_token,
     )
