--- a/marigoldramp/gateway/group_lease.py
+++ b/marigoldramp/gateway/group_lease.py
@@ -1,4 +1,4 @@
-"""For how long the leader of a group leads."""
+"""Lease on the leadership of a group of ranks."""
 
 from typing import Callable
 
@@ -11,11 +11,11 @@
     A leader that stops when it cannot renew leaves a group with the map that
     it has, for as long as the store turns it away: seen as six seconds in
     which each shift of what requests ask for makes nearly all streams late.
-    That two leaders never part the ranks does not rest on the lease, but on
-    what ranks refuse; the lease only keeps them from working against each
-    other.  So one goes on until somebody else is known to lead.
+    That two leaders never make ranks use different maps does not rest on the
+    lease, but on what ranks refuse; the lease only keeps them from working
+    against each other.  So a leader continues until a peer is known to lead.
 
-    :param led_by_peers: whether another entry says that it leads.
+    :param led_by_peers: whether another instance reports that it leads.
     """
 
     __slots__ = ('_led_by_peers',)
--- a/marigoldramp/gateway/group_members.py
+++ b/marigoldramp/gateway/group_members.py
@@ -1,4 +1,4 @@
-"""Finds which endpoints carry the ranks of which groups."""
+"""Finds the groups of ranks and the endpoints that are their members."""
 
 import dataclasses
 from typing import Iterator
@@ -12,9 +12,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Group:
-    """A group of ranks, as reports show it.
+    """A group of ranks, as reported by its members.
 
-    :ivar members: names of the endpoints that carry its ranks.
+    :ivar size: number of its ranks.
+    :ivar members: names of the endpoints that run its ranks.
     """
 
     name: str
@@ -24,8 +25,11 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Member:
-    """What one start of an endpoint has said of its group."""
+class _Membership:
+    """The group of an endpoint, as reported since its last start.
+
+    :ivar born: identifies the start.
+    """
 
     born: int
     group: str
@@ -33,7 +37,7 @@
 
 
 class GroupMembers:
-    """The groups of ranks that reports of endpoints show."""
+    """The groups of ranks that endpoints report."""
 
     __slots__ = ('_api', '_table', '_members', '_groups', '_first_seen')
 
@@ -42,7 +46,7 @@
     ) -> None:
         self._api = api
         self._table = table
-        self._members: dict[str, dict[str, _Member]] = {}
+        self._members: dict[str, dict[str, _Membership]] = {}
         self._groups: dict[str, Group] = {}
         self._first_seen: dict[str, int] = {}
 
@@ -58,39 +62,45 @@
         ]
 
     async def refresh(self, service: str) -> None:
-        """Ask the endpoints for their groups that have not said so yet.
+        """Request the group of each endpoint that has not reported it yet.
 
-        While endpoints start one after the other, asking all of them at each
-        change were half of the questions that a large group gets in a day.
+        Asking all endpoints at each change, while they start one after the
+        other, would be half of all requests to a large group in a day.
         """
         known = self._drop_replaced(self._table.of_service(service))
-        names = {one.identity for one in known}
+        names = {endpoint.identity for endpoint in known}
         members = self._members.setdefault(service, {})
         gone = set(members) - names
         for name in gone:
             del members[name]
-        new = [one for one in known if not _is_asked(one, members)]
+        new = [
+            endpoint
+            for endpoint in known
+            if not _has_reported(endpoint, members)
+        ]
         async with anyio.create_task_group() as tasks:
             for endpoint in new:
-                tasks.start_soon(self._ask, endpoint, members)
+                tasks.start_soon(self._fetch_membership, endpoint, members)
         if new or gone:
-            self._group(service, members)
+            self._update_groups(service, members)
 
-    async def _ask(
-        self, endpoint: endpoints.Endpoint, members: dict[str, _Member]
+    async def _fetch_membership(
+        self, endpoint: endpoints.Endpoint, members: dict[str, _Membership]
     ) -> None:
         report = await self._api.report(
             address=endpoint.address, identity=endpoint.identity
         )
         if not isinstance(report, ranks.NoReply):
-            members[endpoint.identity] = _Member(
+            members[endpoint.identity] = _Membership(
                 born=endpoint.record.born,
                 group=report.group,
                 size=report.size,
             )
 
-    def _group(self, service: str, members: dict[str, _Member]) -> None:
-        """Sort the members of a service by their groups."""
+    def _update_groups(
+        self, service: str, members: dict[str, _Membership]
+    ) -> None:
+        """Derive the groups of a service from its memberships."""
         found: dict[str, list[str]] = {}
         sizes: dict[str, int] = {}
         for identity, member in members.items():
@@ -110,28 +120,29 @@
     ) -> list[endpoints.Endpoint]:
         """Return the newest endpoint at each address.
 
-        The entry of one that has crashed stays for some seconds.  Another
-        start at its address answers for both, seen as two endpoints that
-        carry one rank, and a group that is not led until the entry lapses.
+        A crashed endpoint stays registered for some seconds.  If it restarts
+        at the same address, the new process answers for both, so that two
+        endpoints seem to run one rank; the group would not be led until the
+        old registration expires.
         """
         newest: dict[outbound.Address, endpoints.Endpoint] = {}
         for endpoint in known:
             name = endpoint.identity
             self._first_seen.setdefault(name, len(self._first_seen))
             other = newest.setdefault(endpoint.address, endpoint)
-            if self._order_of(other) < self._order_of(endpoint):
+            if self._start_order(other) < self._start_order(endpoint):
                 newest[endpoint.address] = endpoint
         return list(newest.values())
 
-    def _order_of(self, endpoint: endpoints.Endpoint) -> tuple[int, int]:
-        """Return by what starts at one address are ordered."""
+    def _start_order(self, endpoint: endpoints.Endpoint) -> tuple[int, int]:
+        """Return the sort key of starts at one address."""
         first_seen = self._first_seen[endpoint.identity]
         return endpoint.record.born, first_seen
 
 
-def _is_asked(
-    endpoint: endpoints.Endpoint, members: dict[str, _Member]
+def _has_reported(
+    endpoint: endpoints.Endpoint, members: dict[str, _Membership]
 ) -> bool:
-    """Whether this start of an endpoint has said which group it is in."""
+    """Return whether an endpoint reported its group since its last start."""
     member = members.get(endpoint.identity)
     return member is not None and member.born == endpoint.record.born
--- a/marigoldramp/gateway/leader_election.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -1,11 +1,11 @@
-"""Has one entry lead each group of ranks.
-
-Leading is under a lease in the store, whose number makes ranks refuse an
-older leader; where ranks check no number, see
-:mod:`marigoldramp.map_completion`.  Contending for a lease costs calls of the
-store, so only one entry contends: the first in an order on which all agree,
-among those that are heard and fit, and only while nobody says that it leads.
-Where entries disagree about who that is, the lease decides.
+"""Elects a gateway instance as the leader of each group of ranks.
+
+A leader holds a lease in the store, whose fencing number makes ranks refuse an
+older leader; for ranks that check no number, see
+:mod:`marigoldramp.map_completion`.  Contending for a lease costs store calls,
+so only one instance contends: the first in an order on which all agree, among
+those that are heard and eligible, and only while no instance reports that it
+leads.  Where instances disagree about which one that is, the lease decides.
 """
 
 from typing import Callable
@@ -32,19 +32,21 @@
 from . import rank_transport
 from . import ranks
 
-#: Seconds between two looks at who should lead.
-LOOK_EVERY = 0.2
-#: Seconds for which a renewal of a lease lasts, and between two renewals.
+#: Interval between checks of which instance should lead.
+CHECK_INTERVAL_SECONDS = 0.2
+#: Duration of a lease, and interval between its renewals.
 LEASE_SECONDS = 3.0
-RENEW_SECONDS = 1.2
-#: Seconds for which the holder of a lease must say that it does not lead
-#: before its lease counts as one of an earlier start; reports come more often.
-IDLE_SECONDS = 0.4
-#: Seconds without the ranks after which a leader lets another one try, and
-#: for which it does not try again itself.
-UNREACHED_SECONDS = 3.0
-UNFIT_SECONDS = 10.0
-#: Times of a leader, see :class:`.map_settling.Pace`; the planner waits too.
+RENEW_INTERVAL_SECONDS = 1.2
+#: Time for which the holder of a lease has to report that it does not lead,
+#: before its lease is taken to be from before its restart.  Reports are more
+#: frequent.
+MIN_NOT_LEADING_SECONDS = 0.4
+#: Time without a reply from the ranks after which a leader lets another
+#: instance try, and for which it does not contend itself.
+MAX_UNREACHED_SECONDS = 3.0
+INELIGIBLE_SECONDS = 10.0
+#: Timing of a leader, see :class:`.map_settling.Pace`; its planner waits in
+#: addition.
 PACE = map_settling.Pace(
     poll=0.1,
     retry=0.15,
@@ -53,8 +55,8 @@
 )
 
 
-class _Office:
-    """The leadership of one group, held or contended for by us."""
+class _Candidacy:
+    """The lease of one group, held or contended for here, and its leader."""
 
     __slots__ = ('group', 'leader', 'lease', 'scope', 'unreached_since')
 
@@ -73,25 +75,25 @@
 
 
 class LeaderElector:
-    """The part that one entry takes in leading groups.
+    """Contends for the leadership of groups and runs their leaders.
 
     :param services: returns the services now configured.
     :param fenced: whether ranks refuse orders of older leaders.
-    :param eligible_peers: returns the entries that are heard and fit to lead,
-        and about as strong as any.
-    :param has_stronger_peer: whether one of them can do much more than we.
+    :param eligible_peers: returns the instances that are heard and eligible,
+        without those much weaker than the strongest.
+    :param has_stronger_peer: whether one of them is much stronger than this.
     :param pause_share: returns the pauses of a service's streams, as a part of
         the accepted ones.
     :param passes: returns how long the passes of a service's group last.
     :param concurrency_limit: returns how many requests an endpoint of a
         service may run, by its slots.
-    :param led_by_peers: returns the groups that peers say they lead.
-    :param denies_leading: whether an entry says that it does not lead a group.
-    :param is_gone: whether an entry is taken to have ended; the next leader
-        does not wait for the end of its lease then, as two leaders at once
-        part no ranks.
-    :param is_store_reachable: whether the store answers us.
-    :ivar eligible: we may lead; told to peers.
+    :param led_by_peers: returns the groups that peers report to lead.
+    :param denies_leading: whether an instance reports that it does not lead a
+        group.
+    :param is_gone: whether an instance is assumed to have ended.  The next
+        leader then does not wait for its lease to expire, as ranks never use
+        different maps even with two leaders at once.
+    :param is_store_reachable: whether the store answers this instance.
     """
 
     __slots__ = (
@@ -104,7 +106,7 @@
         '_led_by_peers',
         '_denies_leading',
         '_is_gone',
-        '_idle_since',
+        '_not_leading_since',
         '_pause_share',
         '_passes',
         '_concurrency_limit',
@@ -112,9 +114,9 @@
         '_store',
         '_is_store_reachable',
         '_clock',
-        '_offices',
+        '_candidacies',
         '_groups',
-        '_unfit_until',
+        '_ineligible_until',
         '_looked_at',
         '_stopping',
     )
@@ -148,7 +150,7 @@
         self._led_by_peers = led_by_peers
         self._denies_leading = denies_leading
         self._is_gone = is_gone
-        self._idle_since: dict[str, float] = {}
+        self._not_leading_since: dict[str, float] = {}
         self._pause_share = pause_share
         self._passes = passes
         self._concurrency_limit = concurrency_limit
@@ -156,80 +158,81 @@
         self._store = store
         self._is_store_reachable = is_store_reachable
         self._clock = clock
-        self._offices: dict[str, _Office] = {}
+        self._candidacies: dict[str, _Candidacy] = {}
         self._groups = group_members.GroupMembers(api=api, table=table)
-        self._unfit_until = float('-inf')
+        self._ineligible_until = float('-inf')
         self._looked_at = float('-inf')
         self._stopping = False
 
     @property
     def eligible(self) -> bool:
-        """Whether we may lead.
+        """Whether we may lead; reported to peers.
 
-        One that the store turns away would keep others from contending, and
-        could not take the lease.
+        An instance that the store rejects could not take the lease, and would
+        keep others from contending.
         """
         if self._stopping or not self._is_store_reachable():
             return False
-        return self._clock() >= self._unfit_until
+        return self._clock() >= self._ineligible_until
 
     def led_groups(self) -> tuple[str, ...]:
         """Return the groups that we lead.
 
-        One whose ranks know a newer leader is not ours, though the store
-        may be away and not tell us so.
+        A group whose ranks know a newer leader is left out, though the store
+        may be unavailable and the lease may seem to be held.
         """
         return tuple(
             name
-            for name, office in self._offices.items()
-            if office.lease.held()
-            and office.leader.trouble is not map_conversation.Trouble.DEPOSED
+            for name, candidacy in self._candidacies.items()
+            if candidacy.lease.held()
+            and candidacy.leader.trouble
+            is not map_conversation.Trouble.DEPOSED
         )
 
     async def run(self) -> None:
-        """Lead what falls to us until cancelled."""
+        """Contend for groups and lead them until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await anyio.sleep(LOOK_EVERY)
+                await anyio.sleep(CHECK_INTERVAL_SECONDS)
                 for service in self._services():
                     engine = service.engine
                     if engine is not None and engine.layers:
-                        await self._look(service.name, engine, tasks)
+                        await self._check_service(service.name, engine, tasks)
 
     async def stop(self) -> None:
         """Settle the groups that we lead and give the leases up."""
         self._stopping = True
         async with anyio.create_task_group() as tasks:
-            for office in list(self._offices.values()):
-                if office.lease.held():
-                    tasks.start_soon(office.leader.resign)
+            for candidacy in list(self._candidacies.values()):
+                if candidacy.lease.held():
+                    tasks.start_soon(candidacy.leader.resign)
                 else:
-                    office.scope.cancel()
+                    candidacy.scope.cancel()
 
-    async def _look(
+    async def _check_service(
         self,
         service: str,
         engine: deployment.Engine,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
-        """Begin or end to contend for the groups of a service."""
-        self._leave_offices()
+        """Start or end candidacies for the groups of a service."""
+        self._withdraw_candidacies()
         is_first = self._is_first(service)
         if is_first or self._leads_in(service):
-            # Endpoints come and go for a leader too, also when another entry
-            # has come that would be the first now.
+            # A leader also has to learn of new and removed endpoints, even
+            # when another instance is the designated one by now.
             await self._groups.refresh(service)
         if not is_first:
             return
         elsewhere = self._led_by_peers()
         for group in self._groups:
-            if group.service != service or group.name in self._offices:
+            if group.service != service or group.name in self._candidacies:
                 continue
             if group.name not in elsewhere:
-                self._begin(group, engine, tasks)
+                self._start_candidacy(group, engine, tasks)
 
     def _is_first(self, service: str) -> bool:
-        """Whether it falls to us to contend."""
+        """Return whether this instance is the one to contend."""
         if not self.eligible or self._has_stronger_peer():
             return False
         names = {self._instance, *self._eligible_peers()}
@@ -238,32 +241,32 @@
 
     def _leads_in(self, service: str) -> bool:
         return any(
-            office.group.service == service
-            for office in self._offices.values()
+            candidacy.group.service == service
+            for candidacy in self._candidacies.values()
         )
 
-    def _leave_offices(self) -> None:
+    def _withdraw_candidacies(self) -> None:
         """Stop contending where another leads, or where we cannot lead."""
         elsewhere = self._led_by_peers()
         now = self._clock()
-        for name, office in list(self._offices.items()):
-            held = office.lease.held()
+        for name, candidacy in list(self._candidacies.items()):
+            held = candidacy.lease.held()
             if not held and (name in elsewhere or not self.eligible):
-                office.scope.cancel()
+                candidacy.scope.cancel()
                 continue
-            trouble = office.leader.trouble
+            trouble = candidacy.leader.trouble
             if trouble is not map_conversation.Trouble.UNREACHED:
-                office.unreached_since = float('inf')
+                candidacy.unreached_since = float('inf')
                 continue
-            office.unreached_since = min(office.unreached_since, now)
-            if now - office.unreached_since > UNREACHED_SECONDS:
+            candidacy.unreached_since = min(candidacy.unreached_since, now)
+            if now - candidacy.unreached_since > MAX_UNREACHED_SECONDS:
                 logging.info(
                     'ranks not reached', extra=logs.fields(group=name)
                 )
-                self._unfit_until = now + UNFIT_SECONDS
-                office.scope.cancel()
+                self._ineligible_until = now + INELIGIBLE_SECONDS
+                candidacy.scope.cancel()
 
-    def _begin(
+    def _start_candidacy(
         self,
         group: group_members.Group,
         engine: deployment.Engine,
@@ -299,18 +302,18 @@
             group=group.name,
             instance=self._instance,
             shape=shape,
-            agents=lambda: self._agents(group.name),
+            agents=lambda: self._list_members(group.name),
             transport=transport,
             lease=lease,
-            renew_seconds=RENEW_SECONDS,
+            renew_seconds=RENEW_INTERVAL_SECONDS,
             planner=expert_planner.ExpertPlanner(
                 api=self._api,
                 shape=shape,
                 max_new_experts=engine.spare,
                 slots=engine.slots,
-                copy_seconds=_time_copy(engine),
+                copy_seconds=_estimate_copy_seconds(engine),
                 find_endpoint=self._table.find,
-                utilization=lambda: self._use(group),
+                utilization=lambda: self._compute_utilization(group),
                 passes=self._passes(group.service),
                 slow_ranks=transport.slow_ranks,
                 clock=self._clock,
@@ -319,59 +322,62 @@
             pace=PACE,
             fenced=fenced,
         )
-        office = _Office(group=group, leader=leader, lease=lease)
-        self._offices[group.name] = office
+        candidacy = _Candidacy(group=group, leader=leader, lease=lease)
+        self._candidacies[group.name] = candidacy
         logging.info('contending', extra=logs.fields(group=group.name))
-        tasks.start_soon(self._hold, office)
+        tasks.start_soon(self._run_candidacy, candidacy)
 
     def _has_ended(self, group: str, holder: str) -> bool:
         """Whether the holder of a group's lease no longer leads.
 
-        After a restart of all entries each lease is still held by one that
-        has forgotten it.  Left to lapse, the group would keep its first map
-        for three seconds in which everybody comes back at once.
+        After a restart of all instances, each lease names a holder that does
+        not know of it.  Waiting for it to expire would leave the group its
+        initial map for three seconds in which all callers come back at once.
         """
         if holder == self._instance:
-            # An earlier start of ours; our own writes are recognised before.
+            # From before a restart; the lease recognises its own writes.
             return True
         if self._is_gone(holder):
             return True
         now = self._clock()
         if not self._denies_leading(holder, group):
-            self._idle_since.pop(group, None)
+            self._not_leading_since.pop(group, None)
             return False
-        return now - self._idle_since.setdefault(group, now) >= IDLE_SECONDS
+        return (
+            now - self._not_leading_since.setdefault(group, now)
+            >= MIN_NOT_LEADING_SECONDS
+        )
 
-    def _agents(self, name: str) -> tuple[str, ...]:
+    def _list_members(self, name: str) -> tuple[str, ...]:
         """Return the endpoints of a group that are still known."""
         return tuple(one.identity for one in self._groups.list_known(name))
 
-    def _use(self, group: group_members.Group) -> float:
-        """Return the use of a group, by its slots and by its pauses."""
+    def _compute_utilization(self, group: group_members.Group) -> float:
+        """Return the utilization by concurrent requests and by pauses."""
         members = self._groups.list_known(group.name)
         service = group.service
-        room = sum(
+        capacity = sum(
             self._concurrency_limit(service, endpoint.record.slots)
             for endpoint in members
         )
-        if not room:
+        if not capacity:
             return 0.0
-        used = sum(endpoint.in_flight for endpoint in members) / room
+        used = sum(endpoint.in_flight for endpoint in members) / capacity
         return max(used, self._pause_share(service))
 
-    async def _hold(self, office: _Office) -> None:
+    async def _run_candidacy(self, candidacy: _Candidacy) -> None:
         try:
-            with office.scope:
-                await office.leader.run()
+            with candidacy.scope:
+                await candidacy.leader.run()
         finally:
-            self._offices.pop(office.group.name, None)
+            self._candidacies.pop(candidacy.group.name, None)
             logging.info(
                 'no longer contending',
-                extra=logs.fields(group=office.group.name),
+                extra=logs.fields(group=candidacy.group.name),
             )
 
 
-def _time_copy(engine: deployment.Engine) -> float:
+def _estimate_copy_seconds(engine: deployment.Engine) -> float:
     """Return the seconds in which a rank copies an expert, 0 if unknown."""
     if not engine.link_rate:
         return 0.0
--- a/marigoldramp/gateway/ranks.py
+++ b/marigoldramp/gateway/ranks.py
@@ -1,4 +1,4 @@
-"""What a rank of a group says of itself, and the orders it takes."""
+"""Reports of ranks, orders to ranks, and the interface to reach them."""
 
 import abc
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Armed:
-    """A map that comes into force when a step begins."""
+    """A prepared map that takes effect when a step begins."""
 
     version: int
     step: int
@@ -16,17 +16,18 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class RankReport:
-    """A rank's report; it lags by a moment.
+    """State of a rank; reports lag behind by a fraction of a second.
 
-    :ivar group: empty for an endpoint that belongs to none.
-    :ivar epoch: grows whenever the group forms anew.
-    :ivar size: ranks of the group.
+    :ivar group: empty for an endpoint that belongs to no group.
+    :ivar epoch: increases whenever the group forms again.
+    :ivar size: number of ranks of the group.
+    :ivar group_open: whether the group is running, with no failed rank.
     :ivar step: the last step that the group has begun.
     :ivar version: the map in force.
     :ivar prepared: the map whose experts are all copied, if any.
-    :ivar held: the step that does not begin before a release.
-    :ivar pace: times longer than usual that its work takes.
-    :ivar born: tells starts of the endpoint apart; 0 if unknown.
+    :ivar held: the step that does not begin before a release, if any.
+    :ivar pace: slowdown of the rank, as a multiple of its usual time.
+    :ivar born: identifies the start of the endpoint; 0 if unknown.
     """
 
     group: str
@@ -47,8 +48,8 @@
 class RankCounts:
     """How often each expert was chosen since the rank started.
 
-    :ivar counts: experts of all layers behind one another.
-    :ivar born: tells starts of the endpoint apart; 0 if unknown.
+    :ivar counts: by expert, with the layers concatenated.
+    :ivar born: identifies the start of the endpoint; 0 if unknown.
     """
 
     epoch: int
@@ -59,19 +60,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class RankExperts:
-    """The experts of one rank, by layer, in the map in force."""
+    """The experts of one rank by layer, in the map in force."""
 
     version: int
     layers: tuple[tuple[int, ...], ...]
 
 
-#: Experts by layer and rank.
+#: Lists of experts by layer and rank.
 Layers = tuple[tuple[tuple[int, ...], ...], ...]
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Prepare:
-    """Copy the experts that a map needs."""
+    """Copy the experts that the rank needs for a map."""
 
     version: int
     layers: Layers
@@ -87,21 +88,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Disarm:
-    """Forget that a map is armed."""
+    """Cancel an armed map."""
 
     version: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Hold:
-    """Do not begin a step."""
+    """Do not begin a step until it is released."""
 
     step: int
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Release:
-    """Begin a step that was held."""
+    """Allow a held step to begin."""
 
     step: int
 
@@ -111,10 +112,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Order:
-    """One order.
+    """An order to one rank.
 
-    :ivar token: a rank refuses a lower one than it has seen.
-    :ivar epoch: a rank refuses the order in any other.
+    :ivar token: fencing token; a rank refuses a lower one than it has seen.
+    :ivar epoch: a rank refuses the order in any other epoch.
     """
 
     token: int
@@ -124,12 +125,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Accepted:
-    """The order was obeyed, or what it wants already holds."""
+    """The order was carried out, or its effect was already in place."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Refused:
-    """The order does not fit the rank's state, and has no effect."""
+    """The order does not fit the state of the rank and had no effect.
+
+    :ivar status: HTTP status of the reply.
+    """
 
     status: int
 
@@ -141,7 +145,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class NoReply:
-    """Nothing is known; the order may yet be carried out."""
+    """No usable reply; an order may still be carried out later."""
 
     detail: str
 
@@ -150,28 +154,28 @@
 
 
 class RankApi(abc.ABC):
-    """Reaches ranks."""
+    """Interface to the ranks of groups."""
 
     @abc.abstractmethod
     async def report(
         self, *, address: outbound.Address, identity: str
     ) -> RankReport | NoReply:
-        """Return a rank's report."""
+        """Request the report of a rank."""
 
     @abc.abstractmethod
     async def counts(
         self, *, address: outbound.Address, identity: str
     ) -> RankCounts | NoReply:
-        """Return what a rank has counted."""
+        """Request the expert counts of a rank."""
 
     @abc.abstractmethod
     async def experts(
         self, *, address: outbound.Address, identity: str
     ) -> RankExperts | NoReply:
-        """Return the experts that a rank holds."""
+        """Request the experts that a rank holds."""
 
     @abc.abstractmethod
     async def order(
         self, *, address: outbound.Address, identity: str, order: Order
     ) -> OrderReply:
-        """Give a rank an order."""
+        """Send an order to a rank."""
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -143,7 +143,7 @@
         await anyio.sleep(5.0)
         assert len(fleet.leaders()) == 1
         contending = [
-            name for name, one in fleet.entries.items() if one._offices
+            name for name, one in fleet.entries.items() if one._candidacies
         ]
         assert contending == fleet.leaders()
         tasks.cancel_scope.cancel()
@@ -178,7 +178,7 @@
         for name in ranks[1:]:
             alone._table.put(records[name])
         await anyio.sleep(3.0)
-        leader = next(iter(alone._offices.values())).leader
+        leader = next(iter(alone._candidacies.values())).leader
         assert isinstance(leader.decision, map_recovery.Settled)
         tasks.cancel_scope.cancel()
 
@@ -297,9 +297,9 @@
         )
         for rank in cut.ranks:
             rank.cut = True
-        office = next(iter(fleet.entries[first]._offices.values()))
+        candidacy = next(iter(fleet.entries[first]._candidacies.values()))
         fleet.entries[first]._api = cut
-        office.leader.conversation._transport._api = cut
+        candidacy.leader.conversation._transport._api = cut
         await anyio.sleep(14.0)
         assert fleet.leaders() not in ([], [first])
         tasks.cancel_scope.cancel()
@@ -330,7 +330,7 @@
         members = group.members
         assert 'again-1' in members
         assert 'rank-1' not in members
-        leader = fleet.entries['a']._offices['g'].leader
+        leader = fleet.entries['a']._candidacies['g'].leader
         assert isinstance(leader.decision, map_recovery.Settled)
         tasks.cancel_scope.cancel()
 
