--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -1,13 +1,13 @@
-"""Carries the orders of a group's leader to ranks that take them directly.
+"""Sends the orders of a group's leader directly to the ranks.
 
-Here no agent stands beside a rank.  A rank may leave an order unanswered and
-carry it out seconds later.  What makes such an order harmless is the token:
-each order has a higher one than all before it, and a rank refuses a lower
-token than it has seen in an order that it *obeyed*.  An order without a reply
-is therefore sent again, under a new token, until one is obeyed; every earlier
-copy is dead from then on.
+No agent runs beside a rank here.  A rank may leave an order unanswered and
+carry it out seconds later.  Fencing tokens make such a late order harmless:
+each order has a higher token than all before it, and a rank refuses a token
+lower than that of an order that it has *carried out*.  An order without a
+reply is therefore sent again with a new token until one is carried out, after
+which all earlier copies are refused.
 
-Reports of ranks lag.  A state is taken only from a report that was asked for
+Reports of ranks lag.  State is taken only from a report that was requested
 long enough after the last order, as a leader that decides on an older one
 could undo on some ranks what others have begun to use.
 """
@@ -27,17 +27,17 @@
 from . import quality
 from . import ranks
 
-#: Tokens of one fence; each order takes one.
-TOKENS_A_FENCE = 1 << 24
-#: Maps that one leader can name under one fence.
-MAPS_A_FENCE = 10_000
-#: Copies of an order that are sent before its reply counts as lost.
-TRIES = 10
-#: Seconds between two copies of an order.
-RETRY_SECONDS = 0.02
-#: Seconds after an order from which on a report shows its effect; ranks
-#: state the lag of their reports as 0.2 s.
-REPORT_LAG = 0.35
+#: Tokens reserved for each fencing number; each order takes one.
+TOKENS_PER_FENCE = 1 << 24
+#: Map versions reserved for each fencing number.
+MAPS_PER_FENCE = 10_000
+#: Copies of an order that are sent before it is reported as lost.
+MAX_ATTEMPTS = 10
+#: Interval between two copies of an order.
+RETRY_INTERVAL_SECONDS = 0.02
+#: Time after an order from which on reports show its effect; ranks document
+#: their reports to lag by 0.2 s.
+REPORT_LAG_SECONDS = 0.35
 
 Refusal = map_orders.Refusal
 Reply = map_orders.Reply
@@ -45,51 +45,52 @@
 Sleep = Callable[[float], Awaitable[None]]
 
 
-def number_version(version: expert_maps.Version) -> int:
-    """Return the number by which ranks know a map."""
-    return version.fence * MAPS_A_FENCE + version.number
+def encode_version(version: expert_maps.Version) -> int:
+    """Return the number that identifies a map version to ranks."""
+    return version.fence * MAPS_PER_FENCE + version.number
 
 
-def read_version(number: int) -> expert_maps.Version:
-    """Return the version that a number stands for."""
+def decode_version(number: int) -> expert_maps.Version:
+    """Return the map version that a number identifies."""
     return expert_maps.Version(
-        fence=number // MAPS_A_FENCE, number=number % MAPS_A_FENCE
+        fence=number // MAPS_PER_FENCE, number=number % MAPS_PER_FENCE
     )
 
 
-class _Link:
-    """What is known of one rank.
+class _RankView:
+    """What the leader knows of one rank.
 
-    :ivar acted_at: when the last order went out.
-    :ivar dropped: the last prepared map that was given up.
-    :ivar armed: the map that our orders may have armed.
-    :ivar endpoint: where the rank was when it was last listed.
-    :ivar released: the last step whose hold was ended by us.
+    :ivar report: the last report.
+    :ivar last_order_at: when the last order was sent or answered.
+    :ivar discarded: the newest prepared map that was undone.
+    :ivar armed: the map that orders of this leader may have armed.
+    :ivar endpoint: the endpoint of the rank when it was last listed.
+    :ivar released_step: the latest held step that was released.
     """
 
     __slots__ = (
         'report',
-        'acted_at',
-        'dropped',
+        'last_order_at',
+        'discarded',
         'armed',
         'endpoint',
-        'released',
+        'released_step',
     )
 
     def __init__(self) -> None:
         self.endpoint: endpoints.Endpoint | None = None
         self.report: ranks.RankReport | None = None
-        self.acted_at = float('-inf')
-        self.dropped = 0
+        self.last_order_at = float('-inf')
+        self.discarded = 0
         self.armed: int | None = None
-        self.released = 0
+        self.released_step = 0
 
 
 class RankTransport:
-    """A transport of orders, see :class:`.map_conversation.Transport`.
+    """Sends orders to ranks, see :class:`.map_conversation.Transport`.
 
-    :param find: returns the endpoint of a name.
-    :param fenced: ranks refuse a lower token than they have seen.
+    :param find_endpoint: returns the endpoint with a name.
+    :param fenced: whether ranks refuse a lower token than they have seen.
     """
 
     __slots__ = (
@@ -100,9 +101,9 @@
         '_fenced',
         '_clock',
         '_sleep',
-        '_links',
-        '_tokens',
-        '_maps',
+        '_views',
+        '_token_numbers',
+        '_known_maps',
     )
 
     def __init__(
@@ -123,158 +124,164 @@
         self._fenced = fenced
         self._clock = clock
         self._sleep = sleep
-        self._links: dict[str, _Link] = {}
-        self._tokens = itertools.count(1)
-        self._maps: dict[expert_maps.Version, expert_maps.ExpertMap] = {}
+        self._views: dict[str, _RankView] = {}
+        self._token_numbers = itertools.count(1)
+        self._known_maps: dict[expert_maps.Version, expert_maps.ExpertMap] = {}
 
     async def order(
         self, *, rank_agent: str, order: map_orders.Order
     ) -> Reply | map_orders.Lost:
-        """Deliver an order and return what the rank made of it."""
-        link = self._links.setdefault(rank_agent, _Link())
+        """Send an order and return the reply of the rank."""
+        view = self._views.setdefault(rank_agent, _RankView())
         match order.body:
             case map_orders.Fetch(version=version):
-                return await self._fetch(order, version)
+                return await self._fetch_map(order, version)
             case map_orders.Confirm(settled=settled):
-                return await self._look(rank_agent, link, order, settled)
+                return await self._inspect(rank_agent, view, order, settled)
             case map_orders.Inspect() if not self._fenced:
-                return await self._look(rank_agent, link, order)
-        if link.report is None or not order.incarnation:
-            found = await self._look(rank_agent, link, order)
-            if isinstance(found, map_orders.Lost) or not found.accepted:
-                return found
-        if _has_no_effect(link, order.body):
-            return _answer(order, link, order.fence)
-        if _was_released(link, order.body):
-            return _refuse(order, Refusal.STEP_ENTERED)
-        return await self._act(rank_agent, link, order)
+                return await self._inspect(rank_agent, view, order)
+        if view.report is None or not order.incarnation:
+            reply = await self._inspect(rank_agent, view, order)
+            if isinstance(reply, map_orders.Lost) or not reply.accepted:
+                return reply
+        if _has_no_effect(view, order.body):
+            return _make_reply(order, view, order.fence)
+        if _may_be_released_late(view, order.body):
+            return _make_refusal(order, Refusal.STEP_ENTERED)
+        return await self._deliver(rank_agent, view, order)
 
     def slow_ranks(self) -> dict[int, float]:
-        """Return the slow ranks and their pace, as last reported."""
-        reports = [link.report for link in self._links.values()]
+        """Return the slowdown factor of each slow rank, as last reported."""
+        reports = [view.report for view in self._views.values()]
         return {
             report.rank: report.pace
             for report in reports
             if report is not None and report.pace >= quality.SLOW_PACE
         }
 
-    def _locate(self, name: str, link: _Link) -> endpoints.Endpoint | None:
-        """Return where a rank is, or was when it was last listed.
+    def _locate(self, name: str, view: _RankView) -> endpoints.Endpoint | None:
+        """Return the endpoint of a rank, or the one that was last listed.
 
-        Its entry may lapse for a second or two though it goes on.  Given up
-        in the middle of a change, the group would stand all the while.
+        Its registration may expire for a second or two while it still runs.
+        Without its endpoint in the middle of a change, the group would be
+        held for all that time.
         """
         listed = self._find_endpoint(name)
         if listed is not None:
-            link.endpoint = listed
-        return link.endpoint
+            view.endpoint = listed
+        return view.endpoint
 
-    async def _look(
+    async def _inspect(
         self,
         name: str,
-        link: _Link,
+        view: _RankView,
         order: map_orders.Order,
         settled: bool = True,
     ) -> Reply | map_orders.Lost:
-        """Return a rank's state from a report.
+        """Request a report and return the state of the rank.
 
-        :param settled: the report is to show the effect of our last order.
+        :param settled: whether the report has to show the effect of the last
+            order.
         """
-        wait = link.acted_at + REPORT_LAG - self._clock()
+        wait = view.last_order_at + REPORT_LAG_SECONDS - self._clock()
         if settled and wait > 0.0:
             await self._sleep(wait)
-        endpoint = self._locate(name, link)
+        endpoint = self._locate(name, view)
         if endpoint is None:
-            return map_orders.Lost(detail='the endpoint is gone')
-        found = await self._api.report(address=endpoint.address, identity=name)
-        if isinstance(found, ranks.NoReply):
-            return map_orders.Lost(detail=found.detail)
-        if found.group != self._group:
-            return _refuse(order, Refusal.OTHER_GROUP)
-        if not found.group_open:
-            return _refuse(order, Refusal.ENGINE_FAILED)
-        last = link.report
+            return map_orders.Lost(detail='the endpoint is not known')
+        report = await self._api.report(
+            address=endpoint.address, identity=name
+        )
+        if isinstance(report, ranks.NoReply):
+            return map_orders.Lost(detail=report.detail)
+        if report.group != self._group:
+            return _make_refusal(order, Refusal.OTHER_GROUP)
+        if not report.group_open:
+            return _make_refusal(order, Refusal.ENGINE_FAILED)
+        last = view.report
         if last is not None and (
-            (last.epoch, last.born) != (found.epoch, found.born)
+            (last.epoch, last.born) != (report.epoch, report.born)
         ):
-            # A start that is over had armed and dropped what this one never
-            # had.
-            link.armed = None
-            link.dropped = 0
-            link.released = 0
-        link.report = found
-        endpoint.quality.note_pace(pace=found.pace, now=self._clock())
-        if found.version == link.armed:
-            link.armed = None
-        if order.incarnation and order.incarnation != found.epoch:
-            return _refuse(order, Refusal.INCARNATION)
-        return _answer(order, link, self._read_fence(link, order))
-
-    def _read_fence(self, link: _Link, order: map_orders.Order) -> int:
-        """Return the highest fence that a rank is known to have obeyed.
-
-        Ranks that check no tokens tell by their maps that a newer leader has
-        spoken to them.  An older one that went on would have its maps
-        refused for ever.
+            # The rank has restarted or its group formed again, so what was
+            # armed, discarded and released before no longer applies.
+            view.armed = None
+            view.discarded = 0
+            view.released_step = 0
+        view.report = report
+        endpoint.quality.note_pace(pace=report.pace, now=self._clock())
+        if report.version == view.armed:
+            view.armed = None
+        if order.incarnation and order.incarnation != report.epoch:
+            return _make_refusal(order, Refusal.INCARNATION)
+        return _make_reply(order, view, self._find_highest_fence(view, order))
+
+    def _find_highest_fence(
+        self, view: _RankView, order: map_orders.Order
+    ) -> int:
+        """Return the highest fence of a leader that a rank has obeyed.
+
+        Ranks that check no tokens show by their map versions that they have
+        obeyed a newer leader.  An older leader that continued would have its
+        maps refused forever.
         """
-        state = _read_state(link)
+        state = _build_state(view)
         if self._fenced or state.schedule is None:
             return order.fence
         versions = (*state.loaded, *state.schedule.versions())
         return max(order.fence, max(versions).fence)
 
-    async def _act(
-        self, name: str, link: _Link, order: map_orders.Order
+    async def _deliver(
+        self, name: str, view: _RankView, order: map_orders.Order
     ) -> Reply | map_orders.Lost:
-        assert link.report is not None
-        body = self._translate(link, order)
-        result = await self._send(name, link, order, body)
+        assert view.report is not None
+        body = self._translate(view, order)
+        result = await self._send(name, view, order, body)
         match result:
             case ranks.NoReply(detail=detail):
                 return map_orders.Lost(detail=detail)
             case ranks.TokenOld():
-                return _refuse(order, Refusal.FENCE_OLD)
+                return _make_refusal(order, Refusal.FENCE_OLD)
             case ranks.Refused():
-                return _refuse(order, _explain(order.body))
-        self._note(link, order.body)
-        return _answer(order, link, order.fence)
+                return _make_refusal(order, _infer_refusal(order.body))
+        self._record_effect(view, order.body)
+        return _make_reply(order, view, order.fence)
 
     async def _send(
         self,
         name: str,
-        link: _Link,
+        view: _RankView,
         order: map_orders.Order,
         body: ranks.OrderBody,
     ) -> ranks.OrderReply:
-        """Send an order until it is answered, each time by a new token."""
-        assert link.report is not None
+        """Send an order until it is answered, each time with a new token."""
+        assert view.report is not None
         result: ranks.OrderReply = ranks.NoReply(detail='not sent')
-        for number in range(TRIES):
+        for number in range(MAX_ATTEMPTS):
             if number:
-                await self._sleep(RETRY_SECONDS)
-            endpoint = self._locate(name, link)
+                await self._sleep(RETRY_INTERVAL_SECONDS)
+            endpoint = self._locate(name, view)
             if endpoint is None:
-                return ranks.NoReply(detail='the endpoint is gone')
-            token = order.fence * TOKENS_A_FENCE + next(self._tokens)
-            link.acted_at = self._clock()
+                return ranks.NoReply(detail='the endpoint is not known')
+            token = order.fence * TOKENS_PER_FENCE + next(self._token_numbers)
+            view.last_order_at = self._clock()
             result = await self._api.order(
                 address=endpoint.address,
                 identity=name,
                 order=ranks.Order(
-                    token=token, epoch=link.report.epoch, body=body
+                    token=token, epoch=view.report.epoch, body=body
                 ),
             )
-            link.acted_at = self._clock()
+            view.last_order_at = self._clock()
             if not isinstance(result, ranks.Accepted):
                 logging.info(
                     'order not obeyed',
                     extra=logs.fields(
                         endpoint=name,
-                        rank=link.report.rank,
+                        rank=view.report.rank,
                         order=type(body).__name__,
                         result=type(result).__name__,
                         token=token,
-                        epoch=link.report.epoch,
+                        epoch=view.report.epoch,
                         number=number,
                     ),
                 )
@@ -283,57 +290,59 @@
         return result
 
     def _translate(
-        self, link: _Link, order: map_orders.Order
+        self, view: _RankView, order: map_orders.Order
     ) -> ranks.OrderBody:
-        """Return the order in the rank's terms."""
-        assert link.report is not None
+        """Return the order in the form that ranks take."""
+        assert view.report is not None
         match order.body:
             case map_orders.Prepare(expert_map=new):
-                self._maps[new.version] = new
+                self._known_maps[new.version] = new
                 return ranks.Prepare(
-                    version=number_version(new.version), layers=new.layers
+                    version=encode_version(new.version), layers=new.layers
                 )
             case map_orders.Hold(before_step=step):
                 return ranks.Hold(step=step)
             case map_orders.Arm(version=version, from_step=step):
-                link.armed = number_version(version)
-                return ranks.Arm(version=link.armed, step=step)
+                view.armed = encode_version(version)
+                return ranks.Arm(version=view.armed, step=step)
             case map_orders.Release():
-                step = link.report.held or 0
-                link.released = max(link.released, step)
+                step = view.report.held or 0
+                view.released_step = max(view.released_step, step)
                 return ranks.Release(step=step)
             case map_orders.Undo(version=version) if version is not None:
-                return ranks.Disarm(version=number_version(version))
-            case map_orders.Undo() if link.armed is not None:
-                return ranks.Disarm(version=link.armed)
-            case map_orders.Undo() if link.report.armed is not None:
-                return ranks.Disarm(version=link.report.armed.version)
-        # Has no effect but for the token, which a rank remembers.
-        return ranks.Disarm(version=order.fence * MAPS_A_FENCE)
-
-    def _note(self, link: _Link, body: map_orders.Body) -> None:
-        """Remember what an order that was obeyed has done."""
-        assert link.report is not None
+                return ranks.Disarm(version=encode_version(version))
+            case map_orders.Undo() if view.armed is not None:
+                return ranks.Disarm(version=view.armed)
+            case map_orders.Undo() if view.report.armed is not None:
+                return ranks.Disarm(version=view.report.armed.version)
+        # Has no effect except that the rank remembers the token.
+        return ranks.Disarm(version=order.fence * MAPS_PER_FENCE)
+
+    def _record_effect(self, view: _RankView, body: map_orders.Body) -> None:
+        """Record the effect of an order that was carried out."""
+        assert view.report is not None
         match body:
             case map_orders.Hold(before_step=step):
-                link.report = dataclasses.replace(link.report, held=step)
+                view.report = dataclasses.replace(view.report, held=step)
             case map_orders.Undo():
-                link.armed = None
-                if link.report.prepared is not None:
-                    link.dropped = max(link.dropped, link.report.prepared)
+                view.armed = None
+                if view.report.prepared is not None:
+                    view.discarded = max(view.discarded, view.report.prepared)
 
-    async def _fetch(
+    async def _fetch_map(
         self, order: map_orders.Order, version: expert_maps.Version
     ) -> Reply | map_orders.Lost:
-        """Return a map, put together from what all ranks hold."""
-        known = self._maps.get(version)
+        """Return a map, from memory or assembled from all ranks."""
+        known = self._known_maps.get(version)
         if known is None and version.fence == 0:
             known = initial_map(shape=self._shape)
         if known is None:
-            known = await self._gather(version)
+            known = await self._gather_map(version)
         if known is None:
-            return map_orders.Lost(detail='no rank could tell the map')
-        self._maps = {version: known}
+            return map_orders.Lost(
+                detail='the ranks did not return the whole map'
+            )
+        self._known_maps = {version: known}
         return Reply(
             refusal=Refusal.NONE,
             fence=order.fence,
@@ -341,13 +350,13 @@
             expert_map=known,
         )
 
-    async def _gather(
+    async def _gather_map(
         self, version: expert_maps.Version
     ) -> expert_maps.ExpertMap | None:
-        """Return a map, put together from what each rank holds of it.
+        """Return a map, assembled from the experts that each rank holds.
 
-        All are asked at once: one after the other 72 ranks take 0.2 s, in
-        which a group that has lost its leader keeps an uneven map.
+        All ranks are read at once: 72 ranks one after the other take 0.2 s,
+        in which a group that has lost its leader keeps an uneven map.
         """
         held: dict[int, tuple[tuple[int, ...], ...]] = {}
 
@@ -360,13 +369,13 @@
             )
             if isinstance(found, ranks.NoReply):
                 return
-            if read_version(found.version) == version:
+            if decode_version(found.version) == version:
                 held[rank] = found.layers
 
         async with anyio.create_task_group() as tasks:
-            for name, link in self._links.items():
-                if link.report is not None:
-                    tasks.start_soon(ask, name, link.report.rank)
+            for name, view in self._views.items():
+                if view.report is not None:
+                    tasks.start_soon(ask, name, view.report.rank)
         if sorted(held) != list(range(self._shape.ranks)):
             return None
         layers = tuple(
@@ -379,28 +388,28 @@
 
 
 def initial_map(*, shape: expert_maps.Shape) -> expert_maps.ExpertMap:
-    """Return the map with which a group forms: experts dealt out in turn."""
+    """Return the map of a newly formed group: experts assigned in turn."""
     layer = tuple(
         tuple(range(rank, shape.experts, shape.ranks))
         for rank in range(shape.ranks)
     )
     return expert_maps.ExpertMap(
-        version=read_version(0), layers=(layer,) * shape.layers
+        version=decode_version(0), layers=(layer,) * shape.layers
     )
 
 
-def _read_state(link: _Link) -> RankState:
-    report = link.report
+def _build_state(view: _RankView) -> RankState:
+    report = view.report
     assert report is not None
-    in_force = read_version(report.version)
+    in_force = decode_version(report.version)
     following = None
     from_step = 0
     if report.armed is not None:
-        following = read_version(report.armed.version)
+        following = decode_version(report.armed.version)
         from_step = report.armed.step
     loaded = [in_force]
-    if report.prepared is not None and report.prepared > link.dropped:
-        loaded.append(read_version(report.prepared))
+    if report.prepared is not None and report.prepared > view.discarded:
+        loaded.append(decode_version(report.prepared))
     return RankState(
         rank=report.rank,
         entered=report.step,
@@ -412,52 +421,53 @@
     )
 
 
-def _has_no_effect(link: _Link, body: map_orders.Body) -> bool:
-    """Whether an order gives up a map that a rank has not armed.
+def _has_no_effect(view: _RankView, body: map_orders.Body) -> bool:
+    """Return whether an order undoes a map that a rank has not armed.
 
-    Where ranks check tokens even such an order is sent, for its token.
+    Where ranks check tokens, even such an order is sent, for its token.
     """
-    assert link.report is not None
+    assert view.report is not None
     match body:
         case map_orders.Undo(version=version) if version is not None:
-            number = number_version(version)
-            armed = link.report.armed
-            return link.armed != number and (
+            number = encode_version(version)
+            armed = view.report.armed
+            return view.armed != number and (
                 armed is None or armed.version != number
             )
     return False
 
 
-def _was_released(link: _Link, body: map_orders.Body) -> bool:
-    """Whether a copy of a release could end a hold at any later moment.
+def _may_be_released_late(view: _RankView, body: map_orders.Body) -> bool:
+    """Return whether a late copy of a release could end a hold.
 
-    An idle group does not begin the step that was held last.  Held again,
-    it could go on while some ranks have armed a map and others have not.
+    An idle group does not begin the step that was held last.  If that step
+    is held again, a late release could let it begin while only some ranks
+    have armed a map.
     """
     match body:
         case map_orders.Hold(before_step=step):
-            return step <= link.released
+            return step <= view.released_step
     return False
 
 
-def _answer(order: map_orders.Order, link: _Link, fence: int) -> Reply:
-    assert link.report is not None
+def _make_reply(order: map_orders.Order, view: _RankView, fence: int) -> Reply:
+    assert view.report is not None
     return Reply(
         refusal=Refusal.NONE,
         fence=fence,
-        incarnation=link.report.epoch,
-        states=(_read_state(link),),
+        incarnation=view.report.epoch,
+        states=(_build_state(view),),
     )
 
 
-def _refuse(order: map_orders.Order, refusal: Refusal) -> Reply:
+def _make_refusal(order: map_orders.Order, refusal: Refusal) -> Reply:
     return Reply(
         refusal=refusal, fence=order.fence, incarnation=order.incarnation
     )
 
 
-def _explain(body: map_orders.Body) -> Refusal:
-    """Return why a rank refuses an order that does not fit its state."""
+def _infer_refusal(body: map_orders.Body) -> Refusal:
+    """Return the likely reason for which a rank refused an order."""
     match body:
         case map_orders.Hold() | map_orders.Arm():
             return Refusal.STEP_ENTERED
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -344,7 +344,7 @@
     plan = await decide(planner, group, weights)
     assert plan is not None
     new = expert_maps.ExpertMap(
-        version=rank_transport.read_version(1), layers=plan.layers
+        version=rank_transport.decode_version(1), layers=plan.layers
     )
     assert expert_maps.check(expert_map=new, shape=SHAPE) == ()
     old = rank_transport.initial_map(shape=SHAPE)
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -173,7 +173,7 @@
         tasks.cancel_scope.cancel()
     assert planner.done
     took = seen['Hold'] - seen['Prepare']
-    assert took < rank_transport.REPORT_LAG
+    assert took < rank_transport.REPORT_LAG_SECONDS
     assert group.mixed == []
 
 
