--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -424,7 +424,8 @@
 def _has_no_effect(view: _RankView, body: map_orders.Body) -> bool:
     """Return whether an order undoes a map that a rank has not armed.
 
-    Where ranks check tokens, even such an order is sent, for its token.
+    Leaders of ranks that check tokens name no map to undo, so that the order
+    is sent for its token.
     """
     assert view.report is not None
     match body:
--- a/tests/gateway/fake_ranks.py
+++ b/tests/gateway/fake_ranks.py
@@ -1,4 +1,4 @@
-"""A group of ranks that loses replies and carries orders out late."""
+"""A fake group of ranks that loses replies and carries orders out late."""
 
 import dataclasses
 
@@ -8,8 +8,8 @@
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import ranks
 
-PASS_SECONDS = 0.05
-LAG_SECONDS = 0.2
+PASS_INTERVAL_SECONDS = 0.05
+REPORT_LAG_SECONDS = 0.2
 COPY_SECONDS = 0.1
 
 
@@ -17,32 +17,35 @@
 class FakeRank:
     """State of one rank.
 
+    :ivar highest_prepared: the highest map version that was ever prepared.
+    :ivar prepared_experts: the rank's experts by map version.
+    :ivar unreachable: whether no order or request reaches the rank.
     :ivar copy_seconds: time that it takes to copy a map's experts, ``None``
-        for the usual one.
+        for the default.
     """
 
     number: int
     token: int = 0
     version: int = 0
     experts: tuple = ()
-    highest: int = 0
+    highest_prepared: int = 0
     prepared: int | None = None
     prepared_at: float = 0.0
-    lists: dict = dataclasses.field(default_factory=dict)
+    prepared_experts: dict = dataclasses.field(default_factory=dict)
     armed: ranks.Armed | None = None
     held: int | None = None
-    cut: bool = False
+    unreachable: bool = False
     copy_seconds: float | None = None
 
 
 class FakeGroup(ranks.RankApi):
-    """Ranks in lock-step, reached by orders that can go wrong.
+    """Ranks that make passes in lock-step and may lose or delay orders.
 
-    :ivar mixed: steps in which two ranks used different maps.
-    :ivar lapsed: names of ranks whose entries are not listed; they go on.
-    :ivar fate: called with each order; returns ``(answered, delay)``: whether
-        a reply comes, and the seconds after which the order is carried out,
-        ``None`` for never.
+    :ivar mixed_steps: steps in which two ranks used different maps.
+    :ivar unlisted: names of running ranks whose registrations have expired.
+    :ivar choose_outcome: called with each order; returns
+        ``(answered, delay)``: whether a reply comes, and the seconds after
+        which the order is carried out, ``None`` for never.
     """
 
     def __init__(self, *, size, experts, layers, clock, checks_token=True):
@@ -52,32 +55,32 @@
         self.epoch = 1
         self.step = 0
         self.busy = True
-        self.mixed = []
-        self.lapsed = set()
+        self.mixed_steps = []
+        self.unlisted = set()
         self.orders = []
-        self.changes = 0
-        self.fate = lambda order: (True, 0.0)
+        self.release_count = 0
+        self.choose_outcome = lambda order: (True, 0.0)
         self.tasks = None
         self.history = []
-        first = [
+        initial_experts = [
             tuple(tuple(range(rank, experts, size)) for _ in range(layers))
             for rank in range(size)
         ]
-        self.first = first
+        self.initial_experts = initial_experts
         self.layers = layers
         self.experts_count = experts
         self.ranks = [
-            FakeRank(number=number, experts=first[number])
+            FakeRank(number=number, experts=initial_experts[number])
             for number in range(size)
         ]
-        self.counts_now = [[1] * (experts * layers) for _ in range(size)]
+        self.counters = [[1] * (experts * layers) for _ in range(size)]
 
     def names(self):
         names = (f'rank-{number}' for number in range(self.size))
-        return tuple(name for name in names if name not in self.lapsed)
+        return tuple(name for name in names if name not in self.unlisted)
 
     def find(self, name):
-        if name in self.lapsed:
+        if name in self.unlisted:
             return None
         return endpoints.Endpoint(
             record=deployment.EndpointRecord(
@@ -92,37 +95,37 @@
         )
 
     async def run(self):
-        """Make passes for ever."""
+        """Make passes until cancelled."""
         async with anyio.create_task_group() as self.tasks:
             while True:
-                await anyio.sleep(PASS_SECONDS)
+                await anyio.sleep(PASS_INTERVAL_SECONDS)
                 self.history.append((self.clock(), self._reports()))
                 del self.history[:-20]
                 if self.busy:
-                    self._try_pass()
+                    self._run_pass()
 
-    def _try_pass(self):
-        coming = self.step + 1
-        if any(rank.held == coming for rank in self.ranks):
+    def _run_pass(self):
+        next_step = self.step + 1
+        if any(rank.held == next_step for rank in self.ranks):
             return
-        self.step = coming
+        self.step = next_step
         for rank in self.ranks:
-            if rank.armed is not None and rank.armed.step == coming:
+            if rank.armed is not None and rank.armed.step == next_step:
                 rank.version = rank.armed.version
-                rank.experts = rank.lists[rank.version]
+                rank.experts = rank.prepared_experts[rank.version]
                 rank.armed = None
                 rank.prepared = None
         used = {(rank.version, rank.experts) for rank in self.ranks}
         if len({version for version, _ in used}) > 1:
-            self.mixed.append(self.step)
+            self.mixed_steps.append(self.step)
 
     def reform(self):
-        """Form anew, as after the crash of a rank."""
+        """Form the group again, as after the crash of a rank."""
         self.epoch += 1
         for rank in self.ranks:
             rank.version = 0
-            rank.experts = self.first[rank.number]
-            rank.highest = 0
+            rank.experts = self.initial_experts[rank.number]
+            rank.highest_prepared = 0
             rank.prepared = None
             rank.armed = None
             rank.held = None
@@ -146,38 +149,38 @@
             held=rank.held,
         )
 
-    def _of(self, identity):
+    def _find_rank(self, identity):
         return self.ranks[int(identity.rpartition('-')[2])]
 
     async def report(self, *, address, identity):
         await anyio.sleep(0.002)
-        rank = self._of(identity)
-        if rank.cut:
+        rank = self._find_rank(identity)
+        if rank.unreachable:
             await anyio.sleep(0.3)
             return ranks.NoReply(detail='cut')
-        shown = self._report(rank)
+        report = self._report(rank)
         for at, reports in self.history:
-            if at <= self.clock() - LAG_SECONDS:
-                shown = reports[rank.number]
-        return shown
+            if at <= self.clock() - REPORT_LAG_SECONDS:
+                report = reports[rank.number]
+        return report
 
     async def counts(self, *, address, identity):
-        rank = self._of(identity)
+        rank = self._find_rank(identity)
         return ranks.RankCounts(
             epoch=self.epoch,
             step=self.step,
-            counts=tuple(self.counts_now[rank.number]),
+            counts=tuple(self.counters[rank.number]),
         )
 
     async def experts(self, *, address, identity):
-        rank = self._of(identity)
+        rank = self._find_rank(identity)
         return ranks.RankExperts(version=rank.version, layers=rank.experts)
 
     async def order(self, *, address, identity, order):
-        rank = self._of(identity)
+        rank = self._find_rank(identity)
         self.orders.append((identity, order))
-        answered, delay = self.fate(order)
-        if rank.cut:
+        answered, delay = self.choose_outcome(order)
+        if rank.unreachable:
             answered, delay = False, None
         await anyio.sleep(0.002)
         if answered and delay == 0.0:
@@ -196,25 +199,25 @@
             return ranks.TokenOld()
         if order.epoch != self.epoch:
             return ranks.Refused(status=409)
-        if not self._obey(rank, order.body):
+        if not self._apply(rank, order.body):
             return ranks.Refused(status=409)
         rank.token = max(rank.token, order.token)
         return ranks.Accepted()
 
-    def _obey(self, rank, body):
+    def _apply(self, rank, body):
         match body:
             case ranks.Prepare(version=version, layers=layers):
                 if rank.prepared == version:
                     return True
-                if version <= rank.highest or rank.armed is not None:
+                if version <= rank.highest_prepared or rank.armed is not None:
                     return False
-                rank.highest = version
+                rank.highest_prepared = version
                 rank.prepared = version
-                copying = rank.copy_seconds
-                if copying is None:
-                    copying = COPY_SECONDS
-                rank.prepared_at = self.clock() + copying
-                rank.lists[version] = tuple(
+                copy_seconds = rank.copy_seconds
+                if copy_seconds is None:
+                    copy_seconds = COPY_SECONDS
+                rank.prepared_at = self.clock() + copy_seconds
+                rank.prepared_experts[version] = tuple(
                     layer[rank.number] for layer in layers
                 )
             case ranks.Arm(version=version, step=step):
@@ -240,5 +243,5 @@
             case ranks.Release(step=step):
                 if rank.held == step:
                     rank.held = None
-                    self.changes += 1
+                    self.release_count += 1
         return True
--- a/tests/gateway/test_expert_demand.py
+++ b/tests/gateway/test_expert_demand.py
@@ -1,4 +1,4 @@
-"""Tests of how a shift of what requests ask for is told from chance."""
+"""Tests that a shift of expert demand is told from noise."""
 
 import random
 
@@ -9,13 +9,13 @@
 
 LAYERS = 4
 EXPERTS = 64
-#: Requests whose tokens a rank counts in one window, and tokens of each.
+#: Requests that a rank counts in one window, and tokens of each.
 REQUESTS = 6
 TOKENS = 400
 
 
 def make_profile(draw):
-    """Return how popular experts are: few take most of the tokens."""
+    """Return experts' popularity, of which a few take most of the tokens."""
     order = list(range(EXPERTS))
     draw.shuffle(order)
     weights = [0.0] * EXPERTS
@@ -25,7 +25,7 @@
 
 
 def shift(draw, profile, part):
-    """Return a profile in which a part of the experts has other places."""
+    """Return a profile in which a part of the experts changed places."""
     moved = draw.sample(range(EXPERTS), round(part * EXPERTS))
     values = [profile[expert] for expert in moved]
     draw.shuffle(values)
@@ -36,7 +36,7 @@
 
 
 def count(draw, profiles):
-    """Return what one rank counts of some requests, a topic each."""
+    """Return the counts of one rank for some requests, each with a topic."""
     counts = []
     topics = [make_profile(random.Random(number)) for number in range(9)]
     chosen = [draw.choice(topics) for _ in range(REQUESTS)]
@@ -51,7 +51,7 @@
 
 
 class Rank:
-    """One rank that counts since its start."""
+    """A rank that counts expert choices since its start."""
 
     def __init__(self):
         self.counts = [0] * (LAYERS * EXPERTS)
@@ -61,7 +61,7 @@
     def add(self, counts):
         self.counts = [old + new for old, new in zip(self.counts, counts)]
 
-    def answer(self):
+    def report_counts(self):
         return ranks.RankCounts(
             epoch=self.epoch,
             step=1,
@@ -76,20 +76,21 @@
 
 @pytest.mark.parametrize('part', [0.0, 0.5, 0.7])
 @pytest.mark.parametrize('seed', range(4))
-def test_shift_is_seen_in_one_window_and_chance_is_not(seed, part):
-    """An uneven map is kept for seconds, or copied for nothing.
+def test_shift_is_detected_in_one_window_and_noise_is_not(seed, part):
+    """One window shows a shift, and windows without one show none.
 
-    Sequence: requests of nine topics are counted on one rank in windows of a
-    quarter of a second; then half of the experts change places at once.
-    Cause: windows before and after were averaged, or chance taken for more.
+    Requests of nine topics are counted on one rank in windows of 0.25 s, then
+    half of the experts or more change places at once.  Averaging windows from
+    before and after a shift keeps an uneven map for seconds; taking noise for
+    a shift copies experts for nothing.
     """
     draw = random.Random(seed)
     profiles = [make_profile(draw) for _ in range(LAYERS)]
     demand, rank = make_demand(), Rank()
-    demand.take_window(name='r', rank_counts=rank.answer())
+    demand.take_window(name='r', rank_counts=rank.report_counts())
     for number in range(1, 9):
         rank.add(count(draw, profiles))
-        window = demand.take_window(name='r', rank_counts=rank.answer())
+        window = demand.take_window(name='r', rank_counts=rank.report_counts())
         if demand.has_counts():
             assert (
                 demand.compute_distance(window)
@@ -98,7 +99,7 @@
         demand.add(window, now=0.25 * number)
     shifted = [shift(draw, profile, part) for profile in profiles]
     rank.add(count(draw, shifted))
-    window = demand.take_window(name='r', rank_counts=rank.answer())
+    window = demand.take_window(name='r', rank_counts=rank.report_counts())
     assert (
         demand.compute_distance(window) > expert_demand.MAX_DISTANCE_THRESHOLD
     ) is (part > 0.0)
@@ -108,12 +109,12 @@
     draw = random.Random(1)
     demand, rank = make_demand(), Rank()
     for number in range(6):
-        window = demand.take_window(name='r', rank_counts=rank.answer())
+        window = demand.take_window(name='r', rank_counts=rank.report_counts())
         if window is not None:
             demand.add(window, now=number)
         profile = make_profile(draw)
         rank.add([round(1e4 * one) for one in profile * LAYERS])
-    window = demand.take_window(name='r', rank_counts=rank.answer())
+    window = demand.take_window(name='r', rank_counts=rank.report_counts())
     demand.reset()
     demand.add(window, now=7.0)
     popular = demand.estimate(0)
@@ -132,18 +133,20 @@
 def test_counts_of_two_starts_are_not_compared(epoch, born, counts):
     demand, rank = make_demand(), Rank()
     rank.add([1000] * LAYERS * EXPERTS)
-    demand.take_window(name='r', rank_counts=rank.answer())
+    demand.take_window(name='r', rank_counts=rank.report_counts())
     rank.epoch, rank.born = epoch, born
     rank.add([100 * counts] * LAYERS * EXPERTS)
-    assert demand.take_window(name='r', rank_counts=rank.answer()) is None
+    assert (
+        demand.take_window(name='r', rank_counts=rank.report_counts()) is None
+    )
 
 
 def test_windows_of_ranks_with_few_requests_are_added_up():
-    """A shift of demand in a large group is never noticed.
+    """A shift in a large group is detected.
 
-    Sequence: each of 192 ranks reads a prompt a second; in a window of 0.2 s
-    most ranks count some tokens that are written and nothing else.
-    Cause: each window was to say enough by itself, and else was dropped.
+    Each of 192 ranks reads one prompt per second, so in a window of 0.2 s most
+    ranks only count some generated tokens.  If each such window is dropped as
+    too small by itself, a shift is never detected.
     """
     draw = random.Random(3)
     profiles = [make_profile(draw) for _ in range(LAYERS)]
@@ -151,10 +154,12 @@
     windows = []
     for number in range(12):
         rank = Rank()
-        demand.take_partial_window(name=str(number), rank_counts=rank.answer())
+        demand.take_partial_window(
+            name=str(number), rank_counts=rank.report_counts()
+        )
         rank.add([one // 12 for one in count(draw, profiles)])
         window = demand.take_partial_window(
-            name=str(number), rank_counts=rank.answer()
+            name=str(number), rank_counts=rank.report_counts()
         )
         assert not window.is_sufficient()
         windows.append(window)
@@ -166,18 +171,18 @@
     assert expert_demand.merge([]) is None
 
 
-def test_little_that_one_rank_counts_is_kept_for_its_next_window():
+def test_few_counts_are_kept_for_the_next_window():
     demand, rank = make_demand(), Rank()
-    demand.take_window(name='r', rank_counts=rank.answer())
+    demand.take_window(name='r', rank_counts=rank.report_counts())
     size = LAYERS * EXPERTS
     for _ in range(3):
         rank.add([3] * size)
-        window = demand.take_window(name='r', rank_counts=rank.answer())
+        window = demand.take_window(name='r', rank_counts=rank.report_counts())
     assert window.counts == (9,) * size
 
 
 @pytest.mark.parametrize(
-    ('usual', 'limit'),
+    ('differences', 'limit'),
     [
         ([], 0.22),
         ([0.17] * 9, 0.22),
@@ -186,14 +191,14 @@
         ([0.17] + [0.05] * 30, 0.09),
     ],
 )
-def test_shift_is_told_by_what_windows_usually_differ(usual, limit):
-    """An uneven map of a large group is kept until its next look.
+def test_shift_threshold_follows_the_noise_of_windows(differences, limit):
+    """The threshold for a shift follows the noise between windows.
 
-    Sequence: a shift moves 0.15 of the choices; windows of four ranks differ
-    by 0.06 with nothing changed.
-    Cause: a limit that windows of one rank of sixteen need.
+    In a large group a shift moves 0.15 of the choices, while windows of four
+    ranks differ by 0.06 without one.  With the threshold needed for one rank
+    of sixteen, an uneven map is kept until the next periodic plan.
     """
-    chance = expert_demand.AdaptiveThreshold(maximum=0.22, minimum=0.08)
-    for distance in usual:
-        chance.record(distance)
-    assert chance.limit() == pytest.approx(limit, abs=0.002)
+    threshold = expert_demand.AdaptiveThreshold(maximum=0.22, minimum=0.08)
+    for difference in differences:
+        threshold.record(difference)
+    assert threshold.limit() == pytest.approx(limit, abs=0.002)
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -1,4 +1,4 @@
-"""Tests of when a group's map is changed, and to what."""
+"""Tests of when a group's expert map is changed, and to what."""
 
 import random
 
@@ -26,8 +26,8 @@
     return virtual_time.make_backend()
 
 
-class Talk:
-    """Stands for the leader's conversation."""
+class FakeConversation:
+    """Stands for the leader's conversation with its ranks."""
 
     def __init__(self, names):
         self.names = names
@@ -62,8 +62,8 @@
 
 
 def count(group, weights):
-    """Let every rank count by the weights of the experts."""
-    for counts in group.counts_now:
+    """Increase the counters of all ranks by the weights of the experts."""
+    for counts in group.counters:
         for number in range(len(counts)):
             counts[number] += weights[number % SHAPE.experts]
 
@@ -77,7 +77,8 @@
         count(group, weights)
         plan = (
             await planner.plan(
-                expert_map=current, conversation=Talk(group.names())
+                expert_map=current,
+                conversation=FakeConversation(group.names()),
             )
             or plan
         )
@@ -110,11 +111,10 @@
 
 @pytest.mark.parametrize(('seconds', 'even'), [(0.11, False), (0.0026, True)])
 async def test_map_is_made_even_where_copies_are_quick(seconds, even):
-    """Streams of a little used group are late after the next shift.
+    """Quick copies make an even map worthwhile at low utilization.
 
-    Sequence: the group is little used, so its map is left with a skew of 1.5;
-    demand shifts while more requests come.
-    Cause: copies of 2.6 ms were weighed like those of 0.11 s.
+    If copies of 2.6 ms count like those of 0.11 s, the map is left with a skew
+    of 1.5, and streams are late when demand shifts while load rises.
     """
     planner, group = make_planner(0.3, copy_seconds=seconds)
     plan = await decide(planner, group, [100, 400] * (SHAPE.experts // 2))
@@ -127,14 +127,14 @@
         assert (expert_maps.skew(loads) < 1.2) is even
 
 
-@pytest.mark.parametrize('steady', [8.0, 8.7, 9.4, 10.1, 10.8])
-async def test_few_choices_that_move_to_one_rank_are_noticed(steady):
-    """A map with a skew of two is kept until it is time to look anyway.
+@pytest.mark.parametrize('steady_seconds', [8.0, 8.7, 9.4, 10.1, 10.8])
+async def test_few_choices_that_move_to_one_rank_are_detected(steady_seconds):
+    """A shift that overloads one rank is detected although few choices move.
 
-    Sequence: a shift moves a tenth of the choices, as little as chance does,
-    but all of them to experts of one rank.
-    Cause: windows were compared with what was counted before, and not with
-    what the map in force was made for.
+    A tenth of the choices move, no more than by noise, but all to experts of
+    one rank.  If windows are only compared with earlier counts, and not with
+    the skew that the map was planned for, a map with a skew of two is kept
+    until the next periodic plan.
     """
     planner, group = make_planner(1.0)
     weights = list(EVEN)
@@ -149,7 +149,7 @@
         while True:
             plan = await planner.plan(
                 expert_map=rank_transport.initial_map(shape=SHAPE),
-                conversation=Talk(group.names()),
+                conversation=FakeConversation(group.names()),
             )
             if plan is not None:
                 found.append(virtual_time.now())
@@ -157,7 +157,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
         tasks.start_soon(lead)
-        await anyio.sleep(steady)
+        await anyio.sleep(steady_seconds)
         assert not found
         weights[0] = 450
         shifted_at = virtual_time.now()
@@ -167,12 +167,11 @@
 
 
 async def test_plan_from_few_counts_is_refined_though_it_looks_like_a_shift():
-    """A map that was made from three prompts is kept for three seconds.
+    """A map made from three prompts is refined without waiting three seconds.
 
-    Sequence: the next counts show that it is uneven; the ranks are counted
-    anew, which shows no shift since; so nothing is planned, and the counts
-    that showed it are dropped.
-    Cause: what looked like a shift and was none ended the look.
+    The next counts show that the map is uneven, which looks like a shift; the
+    ranks are sampled again and show none.  The check must then go on and keep
+    the counts, or no refinement is planned.
     """
     planner, group = make_planner(1.0)
     watch = planner._watch
@@ -211,13 +210,13 @@
     [(120, False), (220, False), (600, True)],
     ids=['as planned', 'a little uneven', 'uneven'],
 )
-async def test_plan_is_refined_only_for_much(seen_since, changes):
-    """A shift is planned for 1.2 s after it instead of 0.6 s.
+async def test_plan_is_refined_only_for_a_large_gain(seen_since, changes):
+    """A plan is refined only for a large gain.
 
-    Sequence: a plan for a shift leaves a skew of a tenth or two, by what is
-    counted after it; a second change takes that away; demand shifts while
-    reports of ranks do not show the change yet.
-    Cause: what a second change costs was compared with its orders alone.
+    After the plan for a shift, newer counts show a remaining skew of 1.1 or
+    1.2.  If a second change is only compared with the cost of its orders, it
+    is made; demand that shifts before reports show the change is then planned
+    for after 1.2 s instead of 0.6 s.
     """
     planner, group = make_planner(1.0)
     weights = list(EVEN)
@@ -229,10 +228,10 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
-        conversation = Talk(group.names())
+        conversation = FakeConversation(group.names())
         first = rank_transport.initial_map(shape=SHAPE)
         await planner.plan(expert_map=first, conversation=conversation)
-        # Of one rank's experts, which the plan before took for even.
+        # Demand for an expert that the first plan took for even.
         weights[0] = seen_since
         plan = None
         until = virtual_time.now() + demand_watch.REFINE_AFTER_SECONDS + 0.3
@@ -257,11 +256,11 @@
 async def test_group_pauses_little_for_reads_in_each_pass(
     experts, layers, at_once
 ):
-    """All streams of a large group are late by each look at its counts.
+    """The number of concurrent reads depends on the counters per rank.
 
-    Sequence: passes last 0.12 s, of which callers accept 0.15; six ranks are
-    read at once, for each of which the group pauses for 5 ms.
-    Cause: how many are read at once did not depend on what they count.
+    Passes take 0.12 s, of which callers accept 0.15 s, and each read pauses
+    the group for 5 ms.  Six concurrent reads make all streams of a large group
+    late.
     """
     shape = expert_maps.Shape(
         ranks=16, experts=experts, layers=layers, slots=24
@@ -284,12 +283,12 @@
 
 
 async def test_new_leader_plans_from_its_first_counts():
-    """All callers come back to a group with an uneven map for 1.3 s.
+    """A new leader measures demand at once, without a first periodic read.
 
-    Sequence: all entries start anew while requests run; the next leader
-    reads one rank and then, a second later, reads it again.
-    Cause: the first reading, which nothing can be compared with, was taken
-    for one of those that a shift is looked for in.
+    All instances restart while requests run.  If the first read of one rank,
+    which has nothing to be compared with, counts as a periodic read, the next
+    one follows a second later, and all callers come back to a group that has
+    an uneven map for 1.3 s.
     """
     planner, group = make_planner(1.0)
     async with anyio.create_task_group() as tasks:
@@ -303,40 +302,38 @@
         began = virtual_time.now()
         plan = await planner.plan(
             expert_map=rank_transport.initial_map(shape=SHAPE),
-            conversation=Talk(group.names()),
+            conversation=FakeConversation(group.names()),
         )
         tasks.cancel_scope.cancel()
     assert plan is not None
     assert virtual_time.now() - began < 2 * demand_watch.MEASURE_WINDOW_SECONDS
 
 
-@pytest.mark.parametrize('turned', [frozenset(), frozenset({2})])
-async def test_ranks_that_turn_slow_are_planned_for_at_once(turned):
-    """Passes take four times longer for a second more than they must.
+@pytest.mark.parametrize('newly_slow', [frozenset(), frozenset({2})])
+async def test_plan_is_made_at_once_when_ranks_become_slow(newly_slow):
+    """A plan is made as soon as a rank becomes slow.
 
-    Sequence: a rank turns slow just after a plan was made; the next one is
-    made when demand has been counted for longer.
-    Cause: only a shift of demand was a reason not to wait.
+    The rank becomes slow just after a plan.  If only a shift of demand is a
+    reason to plan at once, passes take four times as long for another second.
     """
     slow = {}
     planner, group = make_planner(1.0, slow)
     await decide(planner, group, EVEN, times=6)
-    slow.update(dict.fromkeys(turned, 4.0))
+    slow.update(dict.fromkeys(newly_slow, 4.0))
     began = virtual_time.now()
     plan = await planner.plan(
         expert_map=rank_transport.initial_map(shape=SHAPE),
-        conversation=Talk(group.names()),
+        conversation=FakeConversation(group.names()),
     )
-    assert (plan is not None) is bool(turned)
-    assert (virtual_time.now() == began) is bool(turned)
+    assert (plan is not None) is bool(newly_slow)
+    assert (virtual_time.now() == began) is bool(newly_slow)
 
 
 @pytest.mark.parametrize('seed', range(5))
 async def test_plan_can_be_prepared(seed):
-    """Ranks refuse a map, each time it is planned.
+    """A plan gives no rank more new experts than it can copy.
 
-    Sequence: a plan gives a rank more new experts than it can copy.
-    Cause: moves sought without the bound of the ranks.
+    Ranks would refuse such a map each time it is planned.
     """
     draw = random.Random(seed)
     weights = [int(1000 / (1 + draw.randrange(40))) for _ in EVEN]
@@ -359,11 +356,10 @@
 async def test_no_rank_copies_for_longer_than_the_others_wait(
     seconds, max_copies
 ):
-    """A group stays uneven for a second after a plan was made.
+    """The copies of one rank are bounded over all layers.
 
-    Sequence: requests ask for other experts; the plan gives one rank eight
-    of them, and the change waits until that rank has copied them all.
-    Cause: copies were bounded by layer, and all ranks wait for the slowest.
+    A change waits for the slowest rank.  With a bound per layer only, one rank
+    gets eight copies, and the group stays uneven for another second.
     """
     draw = random.Random(3)
     weights = [int(3000 / (1 + draw.randrange(40))) for _ in EVEN]
@@ -391,9 +387,9 @@
     await decide(planner, group, ONE_HOT, times=2)
     known = list(planner._watch.demand.estimate(0))
     group.reform()
-    for counts in group.counts_now:
+    for counts in group.counters:
         counts[:] = [0] * len(counts)
-    # What was known stays known: requests ask for what they did.
+    # The estimate stays, as demand has not changed.
     await decide(planner, group, EVEN, times=1)
     assert list(planner._watch.demand.estimate(0)) == known
 
@@ -422,16 +418,16 @@
         (1.0, {3: 1.6}, 0),
         (0.0, {3: 4.0}, 0),
         (1.0, {3: 4.0}, 0),
-        # Six ranks have thirty places for thirty-two experts.
+        # Six ranks have thirty slots for thirty-two experts.
         (1.0, {3: 4.0, 5: 4.0}, 2),
     ],
 )
 async def test_slow_ranks_get_no_experts(utilization, slow, left):
-    """Every stream of a group is late while one rank computes slowly.
+    """Experts move away from a rank that computes slowly.
 
-    Sequence: a rank turns slow; requests are kept away from it; each pass
-    still waits for its experts.
-    Cause: the search evens out the numbers of tokens, not their time.
+    Requests are kept away from the rank, but each pass waits for its experts.
+    A search that balances the number of tokens instead of the time leaves
+    every stream of the group late.
     """
     planner, group = make_planner(utilization, slow)
     plan = await decide(planner, group, EVEN)
@@ -452,7 +448,7 @@
         await anyio.sleep(expert_planner.MAX_PLAN_SECONDS)
         count(group, EVEN)
         plan = await planner.plan(
-            expert_map=current, conversation=Talk(group.names())
+            expert_map=current, conversation=FakeConversation(group.names())
         )
         if plan is not None:
             break
@@ -461,12 +457,11 @@
 
 
 async def test_large_group_becomes_as_even_as_a_small_one():
-    """Streams of a large group are late though its map changes often.
+    """The map of a group of 72 ranks becomes even, too.
 
-    Sequence: experts of a group of 72 ranks are in unlike demand; the map
-    changes, and the most loaded rank still has a third more than the mean.
-    Cause: moves were counted by layer, whatever the number of ranks, and a
-    copy had to gain as much of the skew as in a group of 16.
+    If the moves per layer do not grow with the number of ranks, or a copy has
+    to gain as much skew as in a group of 16, the most loaded rank keeps a
+    third more than the mean although the map changes often.
     """
     shape = expert_maps.Shape(ranks=72, experts=144, layers=1, slots=3)
     planner, group = make_planner(1.0, shape=shape)
@@ -478,12 +473,12 @@
     plan = None
     for _ in range(12):
         await anyio.sleep(expert_planner.MAX_PLAN_SECONDS)
-        for counts in group.counts_now:
+        for counts in group.counters:
             for number, weight in enumerate(weights):
                 counts[number] += weight
         plan = await planner.plan(
             expert_map=rank_transport.initial_map(shape=shape),
-            conversation=Talk(group.names()),
+            conversation=FakeConversation(group.names()),
         )
         if plan is not None:
             break
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -1,4 +1,4 @@
-"""Tests of which entry leads a group of ranks."""
+"""Tests of which gateway instance leads a group of ranks."""
 
 import dataclasses
 import random
@@ -39,8 +39,8 @@
     return virtual_time.make_backend()
 
 
-class StoreOfOne:
-    """The store as one entry sees it, which it may turn away."""
+class InstanceStore:
+    """The store as one instance sees it, which may reject its calls."""
 
     def __init__(self, *, fleet, name):
         self.fleet = fleet
@@ -53,18 +53,18 @@
         return self.fleet.store.restored_at()
 
     async def read(self, **asked):
-        if self.name in self.fleet.turned_away:
+        if self.name in self.fleet.rejected:
             return store.Unavailable(detail='turned away')
         return await self.fleet.store.read(**asked)
 
     async def write(self, **asked):
-        if self.name in self.fleet.turned_away:
+        if self.name in self.fleet.rejected:
             return store.Unavailable(detail='turned away')
         return await self.fleet.store.write(**asked)
 
 
 class Fleet:
-    """Entries that hear each other at once, and one group of ranks."""
+    """Instances that hear each other at once, and one group of ranks."""
 
     def __init__(self, names=('a', 'b', 'c'), fenced=True):
         self.fenced = fenced
@@ -76,9 +76,9 @@
             checks_token=fenced,
         )
         self.store = site.FakeStore()
-        self.turned_away = set()
+        self.rejected = set()
         self.silent = set()
-        self.entries = {name: self.make(name) for name in names}
+        self.instances = {name: self.make(name) for name in names}
         self.scopes = {}
 
     def make(self, name):
@@ -94,81 +94,83 @@
             fenced=lambda: self.fenced,
             eligible_peers=lambda: [
                 other
-                for other, entry in self.entries.items()
+                for other, instance in self.instances.items()
                 if other != name
                 and other not in self.silent
-                and entry.eligible
+                and instance.eligible
             ],
             led_by_peers=lambda: frozenset(
                 group
-                for other, entry in self.entries.items()
+                for other, instance in self.instances.items()
                 if other != name and other not in self.silent
-                for group in entry.led_groups()
+                for group in instance.led_groups()
             ),
             denies_leading=lambda other, group: (
                 other not in self.silent
-                and group not in self.entries[other].led_groups()
+                and group not in self.instances[other].led_groups()
             ),
             is_gone=lambda other: other in self.silent,
             pause_share=lambda service: 0.0,
             passes=lambda service: passes.PassTimes(clock=virtual_time.now),
             concurrency_limit=lambda service, slots: slots,
             api=self.group,
-            store=StoreOfOne(fleet=self, name=name),
-            is_store_reachable=lambda: name not in self.turned_away,
+            store=InstanceStore(fleet=self, name=name),
+            is_store_reachable=lambda: name not in self.rejected,
             clock=virtual_time.now,
         )
 
-    async def run_entry(self, name):
+    async def run_instance(self, name):
         with anyio.CancelScope() as self.scopes[name]:
-            await self.entries[name].run()
+            await self.instances[name].run()
 
     def leaders(self):
         return [
             name
-            for name, entry in self.entries.items()
-            if entry.led_groups() and name not in self.silent
+            for name, instance in self.instances.items()
+            if instance.led_groups() and name not in self.silent
         ]
 
     def start(self, tasks):
         tasks.start_soon(self.group.run)
-        for name in self.entries:
-            tasks.start_soon(self.run_entry, name)
+        for name in self.instances:
+            tasks.start_soon(self.run_instance, name)
 
 
-async def test_one_entry_leads_and_only_one_asks_the_store():
+async def test_one_instance_leads_and_only_one_calls_the_store():
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
         assert len(fleet.leaders()) == 1
         contending = [
-            name for name, one in fleet.entries.items() if one._candidacies
+            name
+            for name, instance in fleet.instances.items()
+            if instance._candidacies
         ]
         assert contending == fleet.leaders()
         tasks.cancel_scope.cancel()
 
 
 async def test_leader_learns_of_ranks_that_register_later():
-    """No map is ever changed, and nobody else takes the lead.
+    """A leader learns of new ranks even when another instance is designated.
 
-    Sequence: entries start; one becomes leader while few ranks have
-    registered and few entries are heard; then the others come, by whose
-    names another entry would be the first.
-    Cause: only the entry that is the first looked for ranks.
+    An instance becomes leader while few ranks are registered and few
+    instances are heard; then the others come.  If only the designated
+    instance refreshes the group, no map is ever changed and no other instance
+    takes the lead.
     """
     fleet = Fleet()
     ranks = list(fleet.group.names())
-    others = {name: fleet.entries[name] for name in ('b', 'c')}
+    others = {name: fleet.instances[name] for name in ('b', 'c')}
     async with anyio.create_task_group() as tasks:
         for name in others:
-            del fleet.entries[name]
+            del fleet.instances[name]
         tasks.start_soon(fleet.group.run)
-        alone = fleet.entries['a']
+        alone = fleet.instances['a']
         records = {name: alone._table.find(name).record for name in ranks}
         for name in ranks[1:]:
             alone._table.remove(name)
-        tasks.start_soon(fleet.run_entry, 'a')
+        tasks.start_soon(fleet.run_instance, 'a')
         await anyio.sleep(4.0)
         assert fleet.leaders() == ['a']
         alone._eligible_peers = lambda: [
@@ -183,11 +185,11 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_another_entry_leads_when_the_leader_is_killed():
-    """A group that is held stands for ever.
+async def test_another_instance_leads_when_the_leader_is_killed():
+    """Another instance takes over when the leader is killed during a hold.
 
-    Sequence: the leader is killed; nobody takes its place.
-    Cause: entries that contend only while nobody ever led.
+    If instances only contend for a group that never had a leader, the group
+    stays held forever.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
@@ -202,27 +204,28 @@
         before = fleet.group.step
         await anyio.sleep(2.0)
         assert fleet.group.step > before + 10
-        assert fleet.group.mixed == []
+        assert fleet.group.mixed_steps == []
         tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize('fenced', [True, False])
-@pytest.mark.parametrize('ends', [True, False], ids=['killed', 'suspended'])
-async def test_group_that_is_held_goes_on_before_callers_leave(ends, fenced):
-    """All streams of a group are given up by their callers.
-
-    Sequence: the leader holds a rank, to change the map, and is killed or
-    suspended; the others wait for the end of its lease; callers leave after
-    two seconds without an event.
-    Cause: the lease is kept for three seconds after the last renewal, though
-    ranks refuse an older leader and nobody hears this one.
+@pytest.mark.parametrize(
+    'is_killed', [True, False], ids=['killed', 'suspended']
+)
+async def test_held_group_continues_before_callers_leave(is_killed, fenced):
+    """A held group continues within two seconds of losing its leader.
+
+    The leader holds a rank to change the map, and is killed or suspended.
+    Callers leave after two seconds without an event, but the lease lasts for
+    three seconds after its last renewal.  So the others must not wait for the
+    lease of an instance that is silent, whose orders ranks would refuse.
     """
     fleet = Fleet(fenced=fenced)
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
         first = fleet.leaders()[0]
-        if ends:
+        if is_killed:
             fleet.scopes[first].cancel()
         fleet.silent.add(first)
         held = fleet.group.step + 2
@@ -230,16 +233,17 @@
         await anyio.sleep(1.5)
         assert fleet.leaders() not in ([], [first])
         assert fleet.group.step > held
-        assert fleet.group.mixed == []
+        assert fleet.group.mixed_steps == []
         tasks.cancel_scope.cancel()
 
 
-async def test_group_is_led_soon_after_all_entries_have_restarted():
-    """A group keeps its first map while all callers come back at once.
+async def test_group_is_led_soon_after_all_instances_have_restarted():
+    """A group is led soon after all instances have restarted at once.
 
-    Sequence: all entries end at once and start again; the lease is held by
-    the earlier start of one of them; each waits for its end.
-    Cause: who holds a lease was told by a name that the new start has too.
+    The lease is held by one of them from before its restart.  If the holder
+    is only known by its name, which the restarted instance has too, all wait
+    for the lease to expire, and the group keeps its initial map while all
+    callers come back.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
@@ -247,22 +251,22 @@
         await anyio.sleep(5.0)
         for scope in fleet.scopes.values():
             scope.cancel()
-        for leaves_first_out in (False, True):
+        for leaves_leader_out in (False, True):
             leader = fleet.leaders()[0] if fleet.leaders() else ''
-            names = list(fleet.entries)
-            fleet.entries = {name: fleet.make(name) for name in names}
-            if leaves_first_out and leader:
-                # The first of the others has to notice that it does not lead.
-                fleet.entries[leader]._stopping = True
+            names = list(fleet.instances)
+            fleet.instances = {name: fleet.make(name) for name in names}
+            if leaves_leader_out and leader:
+                # Another instance has to learn that the holder does not lead.
+                fleet.instances[leader]._stopping = True
             for name in names:
-                tasks.start_soon(fleet.run_entry, name)
+                tasks.start_soon(fleet.run_instance, name)
             await anyio.sleep(1.5)
             assert len(fleet.leaders()) == 1
-            assert (leader in fleet.leaders()) is not leaves_first_out
+            assert (leader in fleet.leaders()) is not leaves_leader_out
             for scope in fleet.scopes.values():
                 scope.cancel()
             await anyio.sleep(0.1)
-        assert fleet.group.mixed == []
+        assert fleet.group.mixed_steps == []
         tasks.cancel_scope.cancel()
 
 
@@ -273,51 +277,48 @@
         await anyio.sleep(5.0)
         first = fleet.leaders()[0]
         with anyio.fail_after(4.0):
-            await fleet.entries[first].stop()
-        assert not fleet.entries[first].eligible
+            await fleet.instances[first].stop()
+        assert not fleet.instances[first].eligible
         await anyio.sleep(2.5)
         assert fleet.leaders() not in ([], [first])
         tasks.cancel_scope.cancel()
 
 
 async def test_leader_that_cannot_reach_the_ranks_lets_another_try():
-    """A group waits for a leader that is cut off from it.
+    """A leader that is cut off from the ranks releases the group.
 
-    Sequence: the leader loses its way to the ranks, and keeps the one to
-    the store, by which it renews its lease.
-    Cause: a leader that holds its lease whatever it can do with it.
+    It still reaches the store, so it could renew its lease forever.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
         first = fleet.leaders()[0]
-        cut = fake_ranks.FakeGroup(
+        unreachable = fake_ranks.FakeGroup(
             size=RANKS, experts=8, layers=2, clock=virtual_time.now
         )
-        for rank in cut.ranks:
-            rank.cut = True
-        candidacy = next(iter(fleet.entries[first]._candidacies.values()))
-        fleet.entries[first]._api = cut
-        candidacy.leader.conversation._transport._api = cut
+        for rank in unreachable.ranks:
+            rank.unreachable = True
+        candidacy = next(iter(fleet.instances[first]._candidacies.values()))
+        fleet.instances[first]._api = unreachable
+        candidacy.leader.conversation._transport._api = unreachable
         await anyio.sleep(14.0)
         assert fleet.leaders() not in ([], [first])
         tasks.cancel_scope.cancel()
 
 
 async def test_rank_that_has_started_again_is_one_rank():
-    """A group is not led for seconds after a rank has crashed.
+    """A restarted rank counts once.
 
-    Sequence: a rank crashes and starts again under another name at the
-    address that it had; the entry of its former start stays for a while, or
-    comes back with what a peer knows.
-    Cause: one rank that answers under two names counted as two.
+    A rank crashes and restarts with another name at the same address, while
+    the registration of its former start remains or comes back from a peer.
+    If it counts as two ranks, the group is not led for seconds.
     """
     fleet = Fleet(names=('a',))
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
-        table = fleet.entries['a']._table
+        table = fleet.instances['a']._table
         old = table.find('rank-1').record
         new = dataclasses.replace(old, identity='again-1')
         table.put(new)
@@ -326,45 +327,43 @@
         table.remove(old.identity)
         table.put(old)
         await anyio.sleep(3.0)
-        (group,) = fleet.entries['a']._groups
+        (group,) = fleet.instances['a']._groups
         members = group.members
         assert 'again-1' in members
         assert 'rank-1' not in members
-        leader = fleet.entries['a']._candidacies['g'].leader
+        leader = fleet.instances['a']._candidacies['g'].leader
         assert isinstance(leader.decision, map_recovery.Settled)
         tasks.cancel_scope.cancel()
 
 
 @pytest.mark.parametrize('fenced', [True, False])
-async def test_leader_goes_on_while_the_store_turns_it_away(fenced):
-    """An uneven map is kept for six seconds.
+async def test_leader_continues_while_the_store_rejects_it(fenced):
+    """A leader continues when the store rejects only its calls.
 
-    Sequence: the store turns the leader away and serves the others; its
-    lease lapses; it stays the first of those that may contend, and the
-    others leave it to it.
-    Cause: a leader stopped with its lease, though nobody had taken it.
+    Its lease expires, but the others leave the group to it as the designated
+    instance.  If it stops with its lease, an uneven map is kept for six
+    seconds.
     """
     fleet = Fleet(fenced=fenced)
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
         first = fleet.leaders()
-        fleet.turned_away = set(first)
+        fleet.rejected = set(first)
         await anyio.sleep(8.0)
         assert fleet.leaders() == first
         tasks.cancel_scope.cancel()
 
 
-async def test_entry_that_the_store_turns_away_leaves_leading_to_others():
-    """Nobody leads a group though most entries could.
+async def test_instance_that_the_store_rejects_is_not_eligible():
+    """An instance that the store rejects is not eligible.
 
-    Sequence: the first of the entries is turned away by the store when the
-    leader ends; the others wait for it.
-    Cause: who is fit was told by the ranks alone.
+    If eligibility only depends on reaching the ranks, the others wait for a
+    designated instance that cannot take the lease.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
-        fleet.turned_away = {'a', 'b'}
+        fleet.rejected = {'a', 'b'}
         fleet.start(tasks)
         await anyio.sleep(3.0)
         assert fleet.leaders() == ['c']
@@ -372,40 +371,40 @@
 
 
 async def test_leader_that_ranks_refuse_does_not_say_that_it_leads():
-    """Nobody contends for a group whose leader has ended.
+    """A leader that ranks refuse does not report that it leads.
 
-    Sequence: the store turns a leader away, another takes over and ends; the
-    first one, which ranks refuse, goes on telling that it leads.
-    Cause: a lease that nobody is known to have taken counted as held.
+    The store rejects a leader, another takes over and ends.  If the first one
+    counts its lease as held because it knows of no other holder, it keeps
+    reporting that it leads, and no instance contends.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
         first = fleet.leaders()[0]
-        fleet.turned_away = {first}
+        fleet.rejected = {first}
         for rank in fleet.group.ranks:
             rank.token = 1 << 60
-        # A reason to give an order, which is then refused.
+        # Makes the leader send an order, which is then refused.
         fleet.group.ranks[0].held = fleet.group.step + 2
         await anyio.sleep(4.0)
         assert fleet.leaders() != [first]
         tasks.cancel_scope.cancel()
 
 
-async def test_leader_that_comes_back_late_makes_way():
-    """Two entries lead one group for good.
+async def test_leader_that_returns_late_yields():
+    """A leader without a lease stops once it hears that a peer leads.
 
-    Sequence: the leader is silent to its peers and away from the store;
-    another takes over; the first one hears its peers again.
-    Cause: one that goes on without its lease and asks nobody.
+    It is silent to its peers and cut off from the store until another has
+    taken over.  Without a check of what peers report, two instances lead the
+    group for good.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
         fleet.start(tasks)
         await anyio.sleep(5.0)
         first = fleet.leaders()[0]
-        fleet.turned_away = {first}
+        fleet.rejected = {first}
         fleet.silent.add(first)
         await anyio.sleep(6.0)
         second = fleet.leaders()
@@ -413,11 +412,11 @@
         fleet.silent.clear()
         await anyio.sleep(2.0)
         assert fleet.leaders() == second
-        assert fleet.group.mixed == []
+        assert fleet.group.mixed_steps == []
         tasks.cancel_scope.cancel()
 
 
-async def test_nobody_leads_while_the_store_is_away():
+async def test_nobody_leads_while_the_store_is_unavailable():
     fleet = Fleet()
     fleet.store.away = True
     async with anyio.create_task_group() as tasks:
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -1,8 +1,8 @@
-"""Seeds of real leaders and transports on ranks that check no tokens.
+"""Tests of leaders under random faults, on ranks that check no tokens.
 
 Three leaders are killed, frozen and succeeded at any moment, orders are lost
-or late, reports lag, entries lapse, the group idles and forms anew, and the
-store is away or comes back from an older copy.
+or late, reports lag, registrations expire, the group idles and forms again,
+and the store is unavailable or is restored from an older copy.
 """
 
 import random
@@ -27,8 +27,8 @@
 LEASE_SECONDS = 3.0
 #: Share of orders that are lost, late or obeyed without a reply.
 LOST_SHARES = (0.0, 0.1, 0.3, 0.5)
-MOST_LATE = 8.0
-FAULTS = 40
+MAX_DELAY_SECONDS = 8.0
+FAULT_COUNT = 40
 SUCCESSIONS = ('succeed', 'kill', 'kill leader', 'freeze', 'thaw', 'lose')
 FAULT_SETS = {
     'successions': SUCCESSIONS,
@@ -48,7 +48,7 @@
 
 
 class RestoredStore(site.FakeStore):
-    """A store that comes back from older copies of itself."""
+    """A store that can be restored from older copies of itself."""
 
     def __init__(self):
         super().__init__()
@@ -57,12 +57,12 @@
         self.copies = [{}]
 
     def copy(self):
-        """Keep a copy to come back from."""
+        """Keep a copy that can be restored."""
         self.copies.append(dict(self.objects))
         del self.copies[:-5]
 
     def restore(self, draw):
-        """Come back from one of the last copies."""
+        """Restore one of the last copies."""
         self.objects = dict(draw.choice(self.copies))
         self.eras += 1
         self.at = virtual_time.now()
@@ -74,8 +74,8 @@
         return self.at
 
 
-class Entry(ranks.RankApi):
-    """One process that leads once it gets the lease; may freeze and end."""
+class Instance(ranks.RankApi):
+    """A process that leads once it gets the lease; may freeze and end."""
 
     def __init__(self, *, name, world):
         self.name = name
@@ -112,16 +112,16 @@
     def find(self, name):
         return None if name in self.unlisted else self.world.group.find(name)
 
-    async def live(self):
-        """Lead for ever, each time after it was killed as a new process."""
+    async def run_forever(self):
+        """Run leaders forever, a new process after each kill."""
         while True:
             with anyio.CancelScope() as self.scope:
-                await self._make_leader().run()
+                await self._create_leader().run()
             self.ended = True
             await anyio.sleep(0.3)
             self.ended = False
 
-    def _make_leader(self):
+    def _create_leader(self):
         world = self.world
         self.lease = group_lease.GroupLease(
             lease=leases.Lease(
@@ -132,7 +132,7 @@
                 clock=virtual_time.now,
                 is_gone=world.is_gone,
             ),
-            led_by_peers=lambda: world.is_led_beside(self),
+            led_by_peers=lambda: world.is_led_by_others(self),
         )
         return map_leader.Leader(
             group='g',
@@ -157,7 +157,7 @@
 
 
 class World:
-    """Entries, one group and the store, under faults that a seed draws."""
+    """Gateway instances, one group and the store, under seeded faults."""
 
     def __init__(self, *, seed, load_seconds):
         self.draw = random.Random(seed)
@@ -170,49 +170,49 @@
             clock=virtual_time.now,
             checks_token=False,
         )
-        self.group.fate = self._choose_fate
+        self.group.choose_outcome = self._choose_outcome
         self.store = RestoredStore()
-        self.entries = [Entry(name=name, world=self) for name in NAMES]
-        self.taken_for_gone = set()
+        self.instances = [Instance(name=name, world=self) for name in NAMES]
+        self.presumed_gone = set()
 
     def is_gone(self, name):
-        """Whether an entry is taken to have ended, rightly or not."""
-        return name in self.taken_for_gone or any(
-            one.name == name and one.ended for one in self.entries
+        """Return whether an instance is assumed to have ended."""
+        return name in self.presumed_gone or any(
+            one.name == name and one.ended for one in self.instances
         )
 
-    def is_led_beside(self, entry):
+    def is_led_by_others(self, instance):
         return any(
-            other is not entry
+            other is not instance
             and other.lease is not None
             and other.lease._lease.held()
             and other.thawed.is_set()
-            for other in self.entries
+            for other in self.instances
         )
 
-    def _choose_fate(self, order):
+    def _choose_outcome(self, order):
         if self.draw.random() >= self.lost_share:
             return True, 0.0
         delay = self.draw.choice(
-            [None, 0.0, self.draw.uniform(0.3, MOST_LATE)]
+            [None, 0.0, self.draw.uniform(0.3, MAX_DELAY_SECONDS)]
         )
         return False, delay
 
     def apply(self, fault):
-        """Let one fault happen."""
-        entry = self.draw.choice(self.entries)
+        """Cause one fault."""
+        instance = self.draw.choice(self.instances)
         match fault:
             case 'succeed':
-                self.taken_for_gone = {entry.name}
+                self.presumed_gone = {instance.name}
             case 'kill':
-                entry.scope.cancel()
+                instance.scope.cancel()
             case 'kill leader':
-                for one in self.entries:
+                for one in self.instances:
                     if one.lease is not None and one.lease._lease.held():
                         one.scope.cancel()
             case 'freeze':
-                entry.thawed = anyio.Event()
-                self.taken_for_gone = {entry.name}
+                instance.thawed = anyio.Event()
+                self.presumed_gone = {instance.name}
             case 'thaw':
                 self._thaw()
             case 'lose':
@@ -222,9 +222,9 @@
             case 'form anew':
                 self.group.reform()
             case 'lapse':
-                entry.unlisted.add(self.draw.choice(self.group.names()))
+                instance.unlisted.add(self.draw.choice(self.group.names()))
             case 'list':
-                entry.unlisted.clear()
+                instance.unlisted.clear()
             case 'away':
                 self.store.away = True
             case 'back':
@@ -233,27 +233,27 @@
                 self.store.restore(self.draw)
 
     def _thaw(self):
-        for one in self.entries:
+        for one in self.instances:
             one.thawed.set()
 
-    def heal(self):
+    def clear_faults(self):
         """End all faults."""
         self._thaw()
         self.lost_share = 0.0
-        self.taken_for_gone = set()
+        self.presumed_gone = set()
         self.store.away = False
         self.group.busy = True
-        for one in self.entries:
+        for one in self.instances:
             one.unlisted.clear()
 
-    async def play(self, faults):
-        """Apply faults one after the other, then none for a while."""
-        for _ in range(FAULTS):
+    async def run_faults(self, faults):
+        """Cause random faults one after the other, then none for a while."""
+        for _ in range(FAULT_COUNT):
             longest = self.draw.choice([0.3, 3.0])
             await anyio.sleep(self.draw.uniform(0.0, longest))
             self.store.copy()
             self.apply(self.draw.choice(faults))
-        self.heal()
+        self.clear_faults()
         await anyio.sleep(20.0)
 
 
@@ -261,15 +261,15 @@
 @pytest.mark.parametrize('faults', FAULT_SETS)
 @pytest.mark.parametrize('seed', range(6))
 async def test_three_leaders_never_mix_maps(seed, faults, load_seconds):
-    """Two ranks use different maps in one pass, or the group stands."""
+    """No pass uses two maps, and the group does not stay held."""
     world = World(seed=seed, load_seconds=load_seconds)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(world.group.run)
-        for entry in world.entries:
-            tasks.start_soon(entry.live)
-        await world.play(FAULT_SETS[faults])
+        for instance in world.instances:
+            tasks.start_soon(instance.run_forever)
+        await world.run_faults(FAULT_SETS[faults])
         before = world.group.step
         await anyio.sleep(2.0)
         tasks.cancel_scope.cancel()
-    assert world.group.mixed == []
+    assert world.group.mixed_steps == []
     assert world.group.step > before + 20
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -1,4 +1,4 @@
-"""Tests of orders that ranks take directly: lost, late, from old leaders."""
+"""Tests of orders to ranks: lost, late and from old leaders."""
 
 import random
 
@@ -29,17 +29,17 @@
 class FakeLease:
     """A lease that a test moves from one holder to another."""
 
-    def __init__(self, *, board, holder):
-        self.board = board
+    def __init__(self, *, lease_state, holder):
+        self.lease_state = lease_state
         self.holder = holder
         self.fence = 0
 
     async def acquire(self):
-        if self.board.holder in (None, self.holder):
-            if self.board.holder is None:
-                self.board.fence += 1
-                self.fence = self.board.fence
-            self.board.holder = self.holder
+        if self.lease_state.holder in (None, self.holder):
+            if self.lease_state.holder is None:
+                self.lease_state.fence += 1
+                self.fence = self.lease_state.fence
+            self.lease_state.holder = self.holder
             return self
         return None
 
@@ -47,15 +47,15 @@
         return None
 
     async def release(self):
-        if self.board.holder == self.holder:
-            self.board.holder = None
+        if self.lease_state.holder == self.holder:
+            self.lease_state.holder = None
 
     def held(self):
-        return self.board.holder == self.holder
+        return self.lease_state.holder == self.holder
 
 
-class Board:
-    """Who holds the lease, and the last fence."""
+class LeaseState:
+    """The holder of the lease and the last fencing number."""
 
     def __init__(self):
         self.holder = None
@@ -63,9 +63,9 @@
 
 
 class Planner:
-    """Wants another map whenever it is asked.
+    """Wants another map each time it is called.
 
-    :ivar load_seconds: the fake ranks take 0.1 s.
+    :ivar load_seconds: expected copy time; the fake ranks take 0.1 s.
     """
 
     def __init__(self, load_seconds=None):
@@ -93,7 +93,7 @@
         self.done += done
 
 
-def make_leader(group, board, name, load_seconds=None):
+def make_leader(group, lease_state, name, load_seconds=None):
     planner = Planner(load_seconds)
     transport = rank_transport.RankTransport(
         api=group,
@@ -109,7 +109,7 @@
         shape=SHAPE,
         agents=group.names,
         transport=transport,
-        lease=FakeLease(board=board, holder=name),
+        lease=FakeLease(lease_state=lease_state, holder=name),
         renew_seconds=1.0,
         planner=planner,
         clock=virtual_time.now,
@@ -133,32 +133,33 @@
 @pytest.mark.parametrize('fenced', [True, False])
 async def test_maps_change_one_after_the_other(fenced, load_seconds):
     group = make_group(checks_token=fenced)
-    leader, planner = make_leader(group, Board(), 'one', load_seconds)
+    leader, planner = make_leader(group, LeaseState(), 'one', load_seconds)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
         await anyio.sleep(20.0)
         tasks.cancel_scope.cancel()
     assert planner.done > 5
-    assert group.mixed == []
+    assert group.mixed_steps == []
     assert len({rank.version for rank in group.ranks}) == 1
 
 
 @pytest.mark.parametrize('fenced', [True, False])
 async def test_change_does_not_wait_for_a_settled_report(fenced):
-    """A group stays uneven for 0.2 s after its ranks have copied.
+    """A group changes its map as soon as its ranks have copied.
 
-    Sequence: ranks are told to prepare a map and copy for 0.1 s; the leader
-    asks one of them how far it is, to hold it, and waits until its report
-    shows all orders.
-    Cause: the step that a rank has begun is as good from an older report, as
-    a step that has begun is refused and the next one tried.
+    Before the leader holds a rank it asks for the step that the rank has
+    begun.  An older report is good enough for that, as a hold of a step that
+    has begun is refused and the next step is tried.  Waiting for a report that
+    shows all orders keeps the group uneven for another 0.2 s.
     """
     group = make_group(checks_token=fenced)
-    leader, planner = make_leader(group, Board(), 'one', load_seconds=0.12)
+    leader, planner = make_leader(
+        group, LeaseState(), 'one', load_seconds=0.12
+    )
     seen = {}
 
-    def fate(order):
+    def choose_outcome(order):
         kind = type(order.body).__name__
         if seen or kind == 'Prepare':
             seen.setdefault(kind, virtual_time.now())
@@ -168,19 +169,19 @@
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
         await anyio.sleep(2.0)
-        group.fate = fate
+        group.choose_outcome = choose_outcome
         await anyio.sleep(3.0)
         tasks.cancel_scope.cancel()
     assert planner.done
     took = seen['Hold'] - seen['Prepare']
     assert took < rank_transport.REPORT_LAG_SECONDS
-    assert group.mixed == []
+    assert group.mixed_steps == []
 
 
-def make_fate(seed, share):
+def make_order_faults(seed, share):
     draw = random.Random(seed)
 
-    def fate(order):
+    def choose_outcome(order):
         if draw.random() >= share:
             return True, 0.0
         kind = draw.randrange(3)
@@ -190,7 +191,7 @@
             return False, 0.0
         return False, draw.uniform(0.5, 8.0)
 
-    return fate
+    return choose_outcome
 
 
 @pytest.mark.parametrize('load_seconds', [None, 0.05])
@@ -200,49 +201,49 @@
 async def test_lost_and_late_orders_never_mix_maps(
     seed, share, fenced, load_seconds
 ):
-    """Two ranks use different maps in one pass.
+    """Two ranks never use different maps in one pass.
 
-    Sequence: an order to arm gets no reply; the leader gives the change up
-    and lets the group go on; the order is carried out seconds later.
-    Cause: an order without a reply was taken as one without an effect.
+    An order to arm a map gets no reply; the leader abandons the change and
+    lets the group continue; the order is carried out seconds later.  So an
+    order without a reply must not be taken as one without an effect.
     """
     group = make_group(checks_token=fenced)
-    group.fate = make_fate(seed, share)
-    leader, planner = make_leader(group, Board(), 'one', load_seconds)
+    group.choose_outcome = make_order_faults(seed, share)
+    leader, planner = make_leader(group, LeaseState(), 'one', load_seconds)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
         await anyio.sleep(60.0)
-        group.fate = make_fate(seed, 0.0)
+        group.choose_outcome = make_order_faults(seed, 0.0)
         await anyio.sleep(15.0)
         before = group.step
         await anyio.sleep(2.0)
         tasks.cancel_scope.cancel()
-    assert group.mixed == []
+    assert group.mixed_steps == []
     assert group.step > before + 20
     assert planner.done > 0
 
 
 @pytest.mark.parametrize('load_seconds', [None, 0.05])
 @pytest.mark.parametrize('fenced', [True, False])
-@pytest.mark.parametrize('idles', [False, True])
+@pytest.mark.parametrize('may_idle', [False, True])
 @pytest.mark.parametrize('seed', range(8))
 async def test_changing_leaders_never_mix_maps(
-    seed, idles, fenced, load_seconds
+    seed, may_idle, fenced, load_seconds
 ):
-    """Two ranks use different maps in one pass, or the group stands.
+    """Old and new leaders never make ranks mix maps or leave a group held.
 
-    Sequence: a leader is cut short at any moment of a change while orders
-    are lost or late; another takes over; the first one goes on as if it
-    still led, at the same time.
-    Cause: ranks that obey both leaders, or a hold that nobody releases.
+    A leader is interrupted at any moment of a change while orders are lost or
+    late.  Another takes over, and the first one continues at the same time as
+    if it still led.
     """
     draw = random.Random(seed)
     group = make_group(checks_token=fenced)
-    group.fate = make_fate(seed, 0.25)
-    board = Board()
+    group.choose_outcome = make_order_faults(seed, 0.25)
+    lease_state = LeaseState()
     leaders = [
-        make_leader(group, board, name, load_seconds)[0] for name in ('a', 'b')
+        make_leader(group, lease_state, name, load_seconds)[0]
+        for name in ('a', 'b')
     ]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
@@ -250,31 +251,31 @@
             tasks.start_soon(leader.run)
         for _ in range(25):
             await anyio.sleep(draw.uniform(0.1, 3.0))
-            board.holder = None
-            group.busy = not idles or draw.random() < 0.6
+            lease_state.holder = None
+            group.busy = not may_idle or draw.random() < 0.6
             if draw.random() < 0.15:
                 group.reform()
         group.busy = True
-        group.fate = make_fate(seed, 0.0)
+        group.choose_outcome = make_order_faults(seed, 0.0)
         await anyio.sleep(15.0)
         before = group.step
         await anyio.sleep(2.0)
         tasks.cancel_scope.cancel()
-    assert group.mixed == []
+    assert group.mixed_steps == []
     assert group.step > before + 20
 
 
 @pytest.mark.parametrize('fenced', [True, False])
 async def test_new_leader_reads_the_map_from_the_ranks(fenced):
     group = make_group(checks_token=fenced)
-    board = Board()
-    first, _ = make_leader(group, board, 'one')
-    second, planner = make_leader(group, board, 'two')
+    lease_state = LeaseState()
+    first, _ = make_leader(group, lease_state, 'one')
+    second, planner = make_leader(group, lease_state, 'two')
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         with anyio.move_on_after(6.0):
             await first.run()
-        board.holder = None
+        lease_state.holder = None
         seen = group.ranks[0].version
         tasks.start_soon(second.run)
         await anyio.sleep(8.0)
@@ -282,15 +283,14 @@
     assert seen > 0
     assert planner.done > 0
     assert group.ranks[0].version > seen
-    assert group.mixed == []
+    assert group.mixed_steps == []
 
 
 async def test_new_leader_reads_all_ranks_at_once(monkeypatch):
-    """A group keeps an uneven map for 0.2 s more after its leader is gone.
+    """A new leader reads the map in force from all ranks at once.
 
-    Sequence: the next leader settles the group and reads the map in force
-    from 72 ranks, one after the other, before it counts what they do.
-    Cause: each answer was waited for before the next question.
+    Reading 72 ranks one after the other, before any counts are read, keeps an
+    uneven map for another 0.2 s after a leader is gone.
     """
     group = make_group()
     asked = most = 0
@@ -304,14 +304,14 @@
         asked -= 1
         return await read(address=address, identity=identity)
 
-    board = Board()
-    first, _ = make_leader(group, board, 'one')
-    second, planner = make_leader(group, board, 'two')
+    lease_state = LeaseState()
+    first, _ = make_leader(group, lease_state, 'one')
+    second, planner = make_leader(group, lease_state, 'two')
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         with anyio.move_on_after(6.0):
             await first.run()
-        board.holder = None
+        lease_state.holder = None
         monkeypatch.setattr(group, 'experts', experts)
         tasks.start_soon(second.run)
         await anyio.sleep(8.0)
@@ -320,38 +320,39 @@
     assert planner.done > 0
 
 
-async def test_group_goes_on_when_a_rank_has_lost_an_armed_map():
-    """A group stands for good.
+async def test_held_group_continues_when_a_rank_has_lost_an_armed_map():
+    """A held group continues though a rank can no longer arm its map.
 
-    Sequence: a leader arms a map on one rank of a held group and ends;
-    another rank takes a newer version, which it copies still, so its report
-    shows neither; it refuses to arm the first one.
-    Cause: a leader that waits for a report which comes after the copy, which
-    comes after the pass that is held.
+    A leader arms a map on one rank of a held group and ends.  Another rank is
+    still copying a newer version, so its report shows neither, and it refuses
+    to arm the first one.  A leader that waits for a report of the finished
+    copy waits forever, as the copy ends after the pass that is held.
     """
     group = make_group(checks_token=False)
-    lists = dict(enumerate(group.first))
+    initial_experts = dict(enumerate(group.initial_experts))
     one, other = group.ranks[0], group.ranks[1]
-    one.prepared = one.highest = 7
-    one.lists[7] = lists[0]
+    one.prepared = one.highest_prepared = 7
+    one.prepared_experts[7] = initial_experts[0]
     one.armed = ranks.Armed(version=7, step=3)
     one.held = 2
-    other.highest = other.prepared = 9
+    other.highest_prepared = other.prepared = 9
     other.prepared_at = float('inf')
-    leader, planner = make_leader(group, Board(), 'one')
+    leader, planner = make_leader(group, LeaseState(), 'one')
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
         await anyio.sleep(5.0)
         tasks.cancel_scope.cancel()
     assert group.step > 20
-    assert group.mixed == []
+    assert group.mixed_steps == []
 
 
 @pytest.mark.parametrize('fenced', [True, False])
-async def test_lines_tell_what_a_change_has_told_the_ranks(fenced, lines):
+async def test_log_lines_show_the_orders_of_a_change(fenced, lines):
     group = make_group(checks_token=fenced)
-    leader, planner = make_leader(group, Board(), 'one', load_seconds=0.12)
+    leader, planner = make_leader(
+        group, LeaseState(), 'one', load_seconds=0.12
+    )
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
@@ -367,10 +368,10 @@
     }
 
 
-async def test_lines_tell_what_a_leader_finds_to_settle(lines):
+async def test_log_line_shows_what_a_leader_has_to_settle(lines):
     group = make_group(checks_token=False)
     group.ranks[2].held = 2
-    leader, _ = make_leader(group, Board(), 'one')
+    leader, _ = make_leader(group, LeaseState(), 'one')
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
@@ -385,33 +386,34 @@
 
 @pytest.mark.parametrize('fenced', [True, False])
 @pytest.mark.parametrize(
-    ('load_seconds', 'copy_seconds', 'told', 'delay'),
+    ('load_seconds', 'copy_seconds', 'order_type', 'delay'),
     [
         pytest.param(0.12, 0.1, ranks.Prepare, 0.05, id='while ranks copy'),
         pytest.param(0.12, 0.1, ranks.Hold, 0.001, id='before ranks arm'),
         pytest.param(None, 1.0, ranks.Prepare, 0.5, id='while leader asks'),
     ],
 )
-async def test_rank_whose_entry_lapses_is_not_left_out_of_a_change(
-    load_seconds, copy_seconds, told, delay, fenced, monkeypatch
+async def test_rank_whose_registration_expires_takes_part_in_a_change(
+    load_seconds, copy_seconds, order_type, delay, fenced, monkeypatch
 ):
-    """A pass mixes two maps when a rank is unlisted in the middle of a change.
+    """A rank whose registration expires during a change still takes part.
 
-    The entry is back a second later.
+    If it is left out, a pass mixes two maps.  The registration is back a
+    second later.
     """
     monkeypatch.setattr(fake_ranks, 'COPY_SECONDS', copy_seconds)
     group = make_group(checks_token=fenced)
-    leader, planner = make_leader(group, Board(), 'one', load_seconds)
+    leader, planner = make_leader(group, LeaseState(), 'one', load_seconds)
     seen = []
 
     async def lapse():
         await anyio.sleep(delay)
-        group.lapsed.add('rank-2')
+        group.unlisted.add('rank-2')
         await anyio.sleep(1.0)
-        group.lapsed.clear()
+        group.unlisted.clear()
 
-    def fate(order):
-        if isinstance(order.body, told):
+    def choose_outcome(order):
+        if isinstance(order.body, order_type):
             if not seen:
                 group.tasks.start_soon(lapse)
             seen.append(order)
@@ -421,29 +423,36 @@
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
         await anyio.sleep(2.0)
-        group.fate = fate
+        group.choose_outcome = choose_outcome
         await anyio.sleep(2.0)
         before = planner.done
         await anyio.sleep(10.0)
         tasks.cancel_scope.cancel()
     assert seen
-    assert group.mixed == []
+    assert group.mixed_steps == []
     assert planner.done > before
     assert len({rank.version for rank in group.ranks}) == 1
 
 
-@pytest.mark.parametrize('told', [ranks.Hold, ranks.Arm])
+@pytest.mark.parametrize('order_type', [ranks.Hold, ranks.Arm])
 @pytest.mark.parametrize('fenced', [True, False])
-async def test_group_does_not_stand_while_an_entry_has_lapsed(fenced, told):
-    """A held group waits for a second until the entry of a rank is back."""
+async def test_group_is_not_held_while_a_registration_has_expired(
+    fenced, order_type
+):
+    """A held group does not wait for the registration of a rank to come back.
+
+    It is missing for a second.
+    """
     group = make_group(checks_token=fenced)
-    leader, planner = make_leader(group, Board(), 'one', load_seconds=0.12)
+    leader, planner = make_leader(
+        group, LeaseState(), 'one', load_seconds=0.12
+    )
     lapsed_at = []
 
-    def fate(order):
-        if isinstance(order.body, told) and not lapsed_at:
+    def choose_outcome(order):
+        if isinstance(order.body, order_type) and not lapsed_at:
             lapsed_at.append(group.step)
-            group.lapsed.add('rank-2')
+            group.unlisted.add('rank-2')
         return True, 0.0
 
     async with anyio.create_task_group() as tasks:
@@ -451,32 +460,34 @@
         tasks.start_soon(leader.run)
         await anyio.sleep(2.0)
         before = planner.done
-        group.fate = fate
+        group.choose_outcome = choose_outcome
         while not lapsed_at:
             await anyio.sleep(0.01)
         await anyio.sleep(1.0)
         tasks.cancel_scope.cancel()
     assert group.step >= lapsed_at[0] + 18
     assert planner.done > before
-    assert group.mixed == []
+    assert group.mixed_steps == []
 
 
 @pytest.mark.parametrize('fenced', [True, False])
 async def test_late_copy_of_a_release_does_not_end_a_later_hold(fenced):
-    """A pass mixes two maps when a release comes late to an idle group.
+    """A late release to an idle group does not end a later hold.
 
-    No rank copies in time for two changes, which are given up.  The step
-    that was held last has not begun when a third change has armed one rank.
+    Two changes are abandoned as no rank copies in time.  The group is idle,
+    so the step that was held has not begun when a third change has armed one
+    rank.  A release of that step, carried out now, would make a pass mix two
+    maps.
     """
     group = make_group(checks_token=fenced)
     group.busy = False
     for rank in group.ranks:
         rank.copy_seconds = 2.0
-    leader, _ = make_leader(group, Board(), 'one', load_seconds=0.05)
+    leader, _ = make_leader(group, LeaseState(), 'one', load_seconds=0.05)
     steps = set()
     late = []
 
-    def fate(order):
+    def choose_outcome(order):
         if isinstance(order.body, ranks.Release):
             steps.add(order.body.step)
             if len(steps) == 2 and not late:
@@ -485,7 +496,7 @@
                 return False, None
         return True, 0.0
 
-    group.fate = fate
+    group.choose_outcome = choose_outcome
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(group.run)
         tasks.start_soon(leader.run)
@@ -498,7 +509,7 @@
         group.busy = True
         await anyio.sleep(10.0)
         tasks.cancel_scope.cancel()
-    assert group.mixed == []
+    assert group.mixed_steps == []
     assert group.step > 20
 
 
@@ -509,13 +520,16 @@
 async def test_leaders_that_hold_one_rank_hold_other_steps(
     fence, other, load_seconds
 ):
-    """A late release of an older leader ends the hold of a newer one."""
+    """Two leaders that hold the same rank hold different steps.
+
+    Otherwise a late release by an older leader ends the hold of a newer one.
+    """
     steps = []
     for one in (fence, other):
         group = make_group(checks_token=False)
-        board = Board()
-        board.fence = one - 1
-        leader, planner = make_leader(group, board, 'one', load_seconds)
+        lease_state = LeaseState()
+        lease_state.fence = one - 1
+        leader, planner = make_leader(group, lease_state, 'one', load_seconds)
         held = set()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(group.run)
