--- a/marigoldramp/gateway/demand_watch.py
+++ b/marigoldramp/gateway/demand_watch.py
@@ -37,8 +37,8 @@
 READ_BATCH_INTERVAL_SECONDS = 0.1
 #: Time for which reads may pause the group in one pass, and its pause for each
 #: counter of a rank that is read.  With 192 ranks of 3,840 counters, six reads
-#: at once take 29 ms of passes of 0.12 s, of which callers accept 0.15 s: each
-#: batch makes all streams late.
+#: at once add 29 ms to a pass of 0.12 s, of which callers accept 0.15 s: each
+#: batch would make all streams late.
 MAX_READ_PAUSE_SECONDS = 0.01
 PAUSE_SECONDS_PER_COUNTER = 0.0005 / 400
 
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -29,7 +29,7 @@
 
 #: Time after which a plan attempt ends, so that the leader checks the group.
 MAX_PLAN_SECONDS = 1.0
-#: Interval between reads of the one rank that is monitored.
+#: Interval between reads of the ranks that are monitored.
 READ_INTERVAL_SECONDS_AT_LOW_UTILIZATION = 2.0
 READ_INTERVAL_SECONDS_AT_HIGH_UTILIZATION = 1.0
 #: One rank is monitored for each 48 ranks of a group.  Groups of more than 96
@@ -75,8 +75,8 @@
 MIN_GAIN_PER_COPY_AT_HIGH_UTILIZATION = 0.0224
 #: Duration of a copy for which these hold; they are scaled down for quicker
 #: copies, to no less than this factor.  Where a copy takes 2.6 ms, an even map
-#: is cheap also at low utilization, and the group is then full of requests
-#: that are in time when demand shifts.
+#: is cheap at low utilization too, and keeps requests in time when the group
+#: is full and demand shifts.
 REFERENCE_COPY_SECONDS = 0.11
 MIN_COPY_COST_FACTOR = 0.15
 #: Bounds between which the values above are interpolated.  Utilization is the
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -360,7 +360,7 @@
         """
         held: dict[int, tuple[tuple[int, ...], ...]] = {}
 
-        async def ask(name: str, rank: int) -> None:
+        async def fetch(name: str, rank: int) -> None:
             endpoint = self._find_endpoint(name)
             if endpoint is None:
                 return
@@ -375,7 +375,7 @@
         async with anyio.create_task_group() as tasks:
             for name, view in self._views.items():
                 if view.report is not None:
-                    tasks.start_soon(ask, name, view.report.rank)
+                    tasks.start_soon(fetch, name, view.report.rank)
         if sorted(held) != list(range(self._shape.ranks)):
             return None
         layers = tuple(
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -52,15 +52,15 @@
     def restored_at(self):
         return self.fleet.store.restored_at()
 
-    async def read(self, **asked):
+    async def read(self, **kwargs):
         if self.name in self.fleet.rejected:
-            return store.Unavailable(detail='turned away')
-        return await self.fleet.store.read(**asked)
+            return store.Unavailable(detail='rejected')
+        return await self.fleet.store.read(**kwargs)
 
-    async def write(self, **asked):
+    async def write(self, **kwargs):
         if self.name in self.fleet.rejected:
-            return store.Unavailable(detail='turned away')
-        return await self.fleet.store.write(**asked)
+            return store.Unavailable(detail='rejected')
+        return await self.fleet.store.write(**kwargs)
 
 
 class Fleet:
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -87,21 +87,21 @@
         self.lease = None
         self.ended = False
 
-    async def report(self, **asked):
-        return await self._call(self.world.group.report, asked)
+    async def report(self, **kwargs):
+        return await self._call(self.world.group.report, kwargs)
 
-    async def counts(self, **asked):
-        return await self._call(self.world.group.counts, asked)
+    async def counts(self, **kwargs):
+        return await self._call(self.world.group.counts, kwargs)
 
-    async def experts(self, **asked):
-        return await self._call(self.world.group.experts, asked)
+    async def experts(self, **kwargs):
+        return await self._call(self.world.group.experts, kwargs)
 
-    async def order(self, **asked):
-        return await self._call(self.world.group.order, asked)
+    async def order(self, **kwargs):
+        return await self._call(self.world.group.order, kwargs)
 
-    async def _call(self, call, asked):
+    async def _call(self, call, kwargs):
         await self.thawed.wait()
-        reply = await call(**asked)
+        reply = await call(**kwargs)
         await self.thawed.wait()
         return reply
 
@@ -176,7 +176,7 @@
         self.presumed_gone = set()
 
     def is_gone(self, name):
-        """Return whether an instance is assumed to have ended."""
+        """Return whether an instance is assumed, maybe wrongly, to be gone."""
         return name in self.presumed_gone or any(
             one.name == name and one.ended for one in self.instances
         )
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -293,15 +293,15 @@
     uneven map for another 0.2 s after a leader is gone.
     """
     group = make_group()
-    asked = most = 0
+    concurrent = max_concurrent = 0
     read = group.experts
 
     async def experts(*, address, identity):
-        nonlocal asked, most
-        asked += 1
-        most = max(most, asked)
+        nonlocal concurrent, max_concurrent
+        concurrent += 1
+        max_concurrent = max(max_concurrent, concurrent)
         await anyio.sleep(0.01)
-        asked -= 1
+        concurrent -= 1
         return await read(address=address, identity=identity)
 
     lease_state = LeaseState()
@@ -316,7 +316,7 @@
         tasks.start_soon(second.run)
         await anyio.sleep(8.0)
         tasks.cancel_scope.cancel()
-    assert most == SHAPE.ranks
+    assert max_concurrent == SHAPE.ranks
     assert planner.done > 0
 
 
