--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -4,6 +4,7 @@
 from typing import Callable
 
 from .. import outcomes
+from . import call_deadlines
 from . import calls
 from . import codecs
 from . import configurations
@@ -11,7 +12,6 @@
 from . import fingerprints
 from . import inbound
 from . import routes
-from . import urgency
 
 #: Part of the time after which a removed key must not work that is kept as a
 #: margin, for clocks that run at different rates.
@@ -57,7 +57,7 @@
         self._revoke_seconds = revoke_seconds
         self._clock = clock
         self._random = random
-        self._stated = urgency.StatedTimes(clock=clock)
+        self._stated = call_deadlines.StatedTimeouts(clock=clock)
 
     def trusts_keys(self) -> bool:
         """Whether keys may be believed that the configuration holds."""
@@ -76,7 +76,7 @@
             facts = self._codec.read_request(head.headers)
         except ValueError as error:
             return NotRun(reason=Reason.MALFORMED, detail=str(error))
-        exchange.request = facts.attempt
+        exchange.request = facts.attempt_id
         config = self._configuration.current
         if config is None:
             return NotRun(
@@ -97,7 +97,7 @@
             seconds = min(seconds, facts.seconds)
         deadline = head.arrived + seconds
         body = await exchange.read_body(
-            most=config.limits.body_bytes,
+            max_bytes=config.limits.body_bytes,
             seconds=deadline - self._clock(),
         )
         if isinstance(body, inbound.BodyFault):
@@ -114,8 +114,8 @@
             priority=priority,
             body=body,
             deadline=deadline,
-            asked=deadline
-            - self._stated.find_usual(route=route.name, stated=seconds),
+            first_asked_at=deadline
+            - self._stated.find_longest(route=route.name, stated=seconds),
             last_event=facts.last_event,
             fingerprint=fingerprints.find_fingerprint(
                 head=head, customer=_name_holder(config, facts), body=body
--- a/marigoldramp/gateway/attempts.py
+++ b/marigoldramp/gateway/attempts.py
@@ -88,7 +88,7 @@
 WRONG_ENDPOINT = 421
 
 
-class Attempts:
+class AttemptRunner:
     """Makes attempts.
 
     :param signals: handles shutdown and backoff signals in responses, and
@@ -132,7 +132,7 @@
             result = await self._receive(call, endpoint, connection)
             whole = isinstance(result, Answer | Streamed)
             return result
-        except outbound.LOST as error:
+        except outbound.CONNECTION_ERRORS as error:
             return Broken(detail=f'{type(error).__name__}: {error}', cut=True)
         finally:
             if whole:
@@ -171,13 +171,13 @@
         if left <= 0.0:
             return Unreached(detail='no time is left')
         head = call.exchange.head
-        sending = codecs.Sending(
+        outgoing = codecs.OutgoingFacts(
             seconds=left,
             identity=endpoint.identity,
             customer=call.customer,
             last_event=call.last_event,
         )
-        headers = self._codec.write_request(head.headers, sending)
+        headers = self._codec.write_request(head.headers, outgoing)
         if call.body or head.method not in (b'GET', b'HEAD'):
             headers.append((b'content-length', b'%d' % len(call.body)))
         call.endpoint = endpoint.identity
@@ -188,7 +188,7 @@
                 headers=headers,
                 body=call.body,
             )
-        except outbound.LOST as error:
+        except outbound.CONNECTION_ERRORS as error:
             # It had ended before anything was written.
             return Unreached(detail=f'{type(error).__name__}: {error}')
         call.sends += 1
@@ -276,11 +276,11 @@
 
 def _find_fault(call: calls.Call, facts: codecs.AnswerFacts) -> str:
     """Return why an answer is not the endpoint's to this request."""
-    if facts.attempt != call.facts.attempt:
-        return f'answer to another request: {facts.attempt!r}'
-    if not facts.sealed:
+    if facts.attempt_id != call.facts.attempt_id:
+        return f'answer to another request: {facts.attempt_id!r}'
+    if not facts.signed:
         return 'answer without a signature'
-    if facts.encoded:
+    if facts.has_unrequested_encoding:
         return 'answer in an encoding that was not asked for'
     return ''
 
--- a/marigoldramp/gateway/withdrawals.py
+++ b/marigoldramp/gateway/call_cancellations.py
@@ -13,18 +13,18 @@
 from . import calls
 
 
-class Withdrawals:
+class CallCancellations:
     """The requests that are being served, by fingerprint."""
 
-    __slots__ = ('_held',)
+    __slots__ = ('_calls',)
 
     def __init__(self) -> None:
-        self._held: dict[str, dict[int, _Held]] = {}
+        self._calls: dict[str, dict[int, _Held]] = {}
 
     @contextlib.contextmanager
-    def hold(self, call: calls.Call) -> Iterator[anyio.CancelScope]:
+    def track(self, call: calls.Call) -> Iterator[anyio.CancelScope]:
         """Serve a call in a scope that is cancelled when it is taken back."""
-        held = self._held.setdefault(call.fingerprint, {})
+        held = self._calls.setdefault(call.fingerprint, {})
         key = id(call)
         with anyio.CancelScope() as scope:
             held[key] = _Held(call=call, scope=scope)
@@ -33,14 +33,14 @@
             finally:
                 del held[key]
                 if not held:
-                    self._held.pop(call.fingerprint, None)
+                    self._calls.pop(call.fingerprint, None)
 
-    def withdraw(self, fingerprint: str) -> None:
+    def cancel(self, fingerprint: str) -> None:
         """Take back all requests with a fingerprint that have no answer yet.
 
         An answer that has been begun is not cut off: an endpoint makes it.
         """
-        for held in self._held.get(fingerprint, {}).values():
+        for held in self._calls.get(fingerprint, {}).values():
             if not held.call.exchange.begun:
                 held.scope.cancel()
 
--- a/marigoldramp/gateway/urgency.py
+++ b/marigoldramp/gateway/call_deadlines.py
@@ -31,7 +31,7 @@
 FIRST_EVENT_SECONDS = 0.4
 
 
-class StatedTimes:
+class StatedTimeouts:
     """The longest times left that callers have stated lately, by route."""
 
     __slots__ = ('_clock', '_now', '_before', '_turned_at')
@@ -42,7 +42,7 @@
         self._before: dict[str, float] = {}
         self._turned_at = clock()
 
-    def find_usual(self, *, route: str, stated: float) -> float:
+    def find_longest(self, *, route: str, stated: float) -> float:
         """Return what callers of a route state when they first ask.
 
         :param stated: the time that is left to one more request, in seconds.
@@ -62,9 +62,9 @@
         self._turned_at = now
 
 
-def find_in_time_until(call: calls.Call) -> float:
+def find_late_after(call: calls.Call) -> float:
     """Return until when a place lets the answer count in full."""
-    return call.asked + IN_TIME_SHARE * call.route.objective
+    return call.first_asked_at + IN_TIME_SHARE * call.route.objective
 
 
 def find_latest_start(call: calls.Call) -> float:
--- a/marigoldramp/gateway/calls.py
+++ b/marigoldramp/gateway/calls.py
@@ -40,14 +40,14 @@
     priority: int
     body: bytes
     deadline: float
-    asked: float
+    first_asked_at: float
     last_event: str
     fingerprint: str = ''
     version: int = 0
     version_age: float = 0.0
     sends: int = 0
     runs: int = 0
-    tried: frozenset[str] = frozenset()
+    excluded_endpoints: frozenset[str] = frozenset()
     endpoint: str = ''
     waited: float = 0.0
     first_event: float = 0.0
@@ -61,7 +61,7 @@
 
     def avoid(self, identity: str) -> None:
         """Do not send it to this endpoint again."""
-        self.tried |= {identity}
+        self.excluded_endpoints |= {identity}
 
     def note_event(self, *, now: float) -> float:
         """Note that events are passed on; return the pause before them."""
--- a/marigoldramp/gateway/gates.py
+++ b/marigoldramp/gateway/circuit_breakers.py
@@ -21,7 +21,7 @@
 REPEATED_TRIAL_EVERY = 0.6
 
 
-class Gate:
+class CircuitBreaker:
     """The gate of one service at one entry."""
 
     __slots__ = ('_service', '_clock', '_failures', '_shut_at', '_tried_at')
@@ -34,7 +34,7 @@
         self._tried_at = float('-inf')
 
     @property
-    def is_shut(self) -> bool:
+    def is_tripped(self) -> bool:
         """Whether requests wait."""
         return self._failures >= SHUT_AFTER
 
@@ -46,9 +46,9 @@
             self._tried_at = self._clock()
             logging.info('gate shut', extra=logs.fields(service=self._service))
 
-    def note_progress(self) -> None:
+    def note_success(self) -> None:
         """An endpoint of the service has begun to answer."""
-        if self.is_shut:
+        if self.is_tripped:
             logging.info(
                 'gate opened',
                 extra=logs.fields(
@@ -58,12 +58,12 @@
             )
         self._failures = 0
 
-    def lets_through(self, *, repeated: bool) -> bool:
+    def allows(self, *, repeated: bool) -> bool:
         """Whether a request may go now; one that may is taken as a trial.
 
         :param repeated: the request was sent before.
         """
-        if not self.is_shut:
+        if not self.is_tripped:
             return True
         now = self._clock()
         pause = REPEATED_TRIAL_EVERY if repeated else TRIAL_EVERY
@@ -71,5 +71,5 @@
 
     def note_trial(self) -> None:
         """A request goes through."""
-        if self.is_shut:
+        if self.is_tripped:
             self._tried_at = self._clock()
--- a/marigoldramp/gateway/codecs.py
+++ b/marigoldramp/gateway/codecs.py
@@ -16,7 +16,7 @@
 class RequestFacts:
     """What a request's headers say.
 
-    :ivar attempt: identifier of this attempt of the caller's.
+    :ivar attempt_id: identifier of this attempt of the caller's.
     :ivar seconds: time that the caller waits; ``None`` if it does not say.
     :ivar key: the customer's key, empty without one.
     :ivar last_event: identifier of the last event that the caller has.
@@ -24,7 +24,7 @@
     :ivar answer_tokens: most tokens of the answer, 0 if not told.
     """
 
-    attempt: str
+    attempt_id: str
     seconds: float | None
     key: str
     last_event: str
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Sending:
+class OutgoingFacts:
     """What is told to the endpoint beside the caller's own headers.
 
     :ivar seconds: time that is left for this attempt.
@@ -61,19 +61,20 @@
 class AnswerFacts:
     """What the head of an endpoint's answer says.
 
-    :ivar attempt: identifier of the request that it answers.
-    :ivar sealed: it bears the endpoint's signature.
+    :ivar attempt_id: identifier of the request that it answers.
+    :ivar signed: it bears the endpoint's signature.
     :ivar not_run: the endpoint did not run the request and never will.
-    :ivar encoded: the body is in an encoding that nobody asked for.
+    :ivar has_unrequested_encoding: the request did not ask for the encoding of
+        the body.
     :ivar leaving: the endpoint is shutting down.
     :ivar retry_after: seconds that an unavailable endpoint asks this entry
         to wait before it sends another request; 0 if not specified.
     """
 
-    attempt: str
-    sealed: bool
+    attempt_id: str
+    signed: bool
     not_run: bool
-    encoded: bool
+    has_unrequested_encoding: bool
     load: ReportedLoad | None = None
     leaving: bool = False
     retry_after: float = 0.0
@@ -90,7 +91,9 @@
         """
 
     @abc.abstractmethod
-    def write_request(self, headers: Headers, sending: Sending) -> Headers:
+    def write_request(
+        self, headers: Headers, outgoing: OutgoingFacts
+    ) -> Headers:
         """Return the headers with which a request goes to an endpoint."""
 
     @abc.abstractmethod
--- a/marigoldramp/gateway/pacing.py
+++ b/marigoldramp/gateway/concurrency_limits.py
@@ -16,7 +16,7 @@
 from typing import Callable
 
 from . import deployment
-from . import passes
+from . import pass_times
 
 #: Part of the longest accepted pause that a pass may take; the rest is for
 #: the way to the caller.
@@ -58,15 +58,15 @@
     requests: float
 
 
-class Pace:
+class ConcurrencyLimiter:
     """The limit of one service, as one entry sees its passes.
 
     :param running: returns how many requests an endpoint runs on average.
     :param engine: returns the published figures of its engines, if there are.
     :param accepted: returns the longest pause that callers accept, 0 if none
         is known; for the time before the first pass.
-    :ivar share: smoothed pauses, as a part of the accepted ones.
-    :ivar passes: how long the passes of its group last.
+    :ivar pause_ratio: smoothed pauses, as a part of the accepted ones.
+    :ivar pass_times: how long the passes of its group last.
     """
 
     __slots__ = (
@@ -81,8 +81,8 @@
         '_pass_at',
         '_first_at',
         '_useless_until',
-        'share',
-        'passes',
+        'pause_ratio',
+        'pass_times',
     )
 
     def __init__(
@@ -91,12 +91,12 @@
         clock: Callable[[], float],
         running: Callable[[], float] = lambda: 0.0,
         engine: Callable[[], deployment.Engine | None] = lambda: None,
-        accepted: Callable[[], float] = lambda: 0.0,
+        accepted_pause: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._clock = clock
         self._running = running
         self._engine = engine
-        self._find_accepted = accepted
+        self._find_accepted = accepted_pause
         self._accepted = 0.0
         self._slots = 0.0
         self._rooms: collections.deque[_Room] = collections.deque()
@@ -104,8 +104,8 @@
         self._pass_at = float('-inf')
         self._first_at = float('inf')
         self._useless_until = float('-inf')
-        self.share = 0.0
-        self.passes = passes.PassTimes(
+        self.pause_ratio = 0.0
+        self.pass_times = pass_times.PassTimes(
             clock=clock, running=running, base=self._find_base
         )
 
@@ -116,19 +116,21 @@
             self._expect()
         return min(slots, max(self._room, LEAST_SHARE * slots))
 
-    def note_pause(self, *, seconds: float, accepted: float) -> None:
+    def note_pause(self, *, seconds: float, accepted_pause: float) -> None:
         """Learn of the time between two events of one stream."""
-        self.passes.note(seconds)
-        if accepted <= 0.0:
+        self.pass_times.note_local(seconds)
+        if accepted_pause <= 0.0:
             return
-        self._accepted = accepted
-        if seconds <= STALLED_SHARE * accepted:
-            self.share += SMOOTHING * (seconds / accepted - self.share)
+        self._accepted = accepted_pause
+        if seconds <= STALLED_SHARE * accepted_pause:
+            self.pause_ratio += SMOOTHING * (
+                seconds / accepted_pause - self.pause_ratio
+            )
         self._note_pass(seconds)
 
-    def note_told(self, seconds: float) -> None:
+    def note_reported(self, seconds: float) -> None:
         """Learn of a pass that a stream has shown at a peer."""
-        self.passes.note_told(seconds)
+        self.pass_times.note_reported(seconds)
         self._note_pass(seconds)
 
     def _expect(self) -> None:
@@ -144,10 +146,10 @@
     def _note_pass(self, seconds: float) -> None:
         """Find the limit anew, by one more pass."""
         now = self._clock()
-        if now - self._pass_at < passes.SAME_PASS * seconds:
+        if now - self._pass_at < pass_times.SAME_PASS * seconds:
             return
-        accepted = self._accepted
-        if accepted <= 0.0 or seconds > STALLED_SHARE * accepted:
+        accepted_pause = self._accepted
+        if accepted_pause <= 0.0 or seconds > STALLED_SHARE * accepted_pause:
             return
         self._pass_at = now
         self._first_at = min(self._first_at, now)
--- a/marigoldramp/gateway/containment.py
+++ b/marigoldramp/gateway/containment.py
@@ -12,6 +12,7 @@
 
 from .. import metrics as metrics_module
 from . import attempts
+from . import call_cancellations
 from . import calls
 from . import endpoint_ends
 from . import endpoints
@@ -19,7 +20,6 @@
 from . import peers as peers_module
 from . import suspect_exchange
 from . import suspects
-from . import withdrawals
 
 
 class Containment:
@@ -33,7 +33,7 @@
     :ivar exchange: how others learn of it.
     """
 
-    __slots__ = ('_ends', '_withdrawals', 'suspects', 'exchange')
+    __slots__ = ('_ends', '_cancellations', 'suspects', 'exchange')
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         metrics: metrics_module.Metrics,
         clock: Callable[[], float],
     ) -> None:
-        self._withdrawals = withdrawals.Withdrawals()
+        self._cancellations = call_cancellations.CallCancellations()
         self._ends = endpoint_ends.EndWatch(
             open_connection=lambda address, seconds: pool.open(
                 address=address, seconds=seconds
@@ -61,7 +61,7 @@
                 fingerprint,
                 [instance, *(peer.instance for peer in peers.live())],
             ),
-            on_block=self._withdrawals.withdraw,
+            on_block=self._cancellations.cancel,
             clock=clock,
         )
         self.exchange = suspect_exchange.SuspectExchange(
@@ -81,7 +81,7 @@
         self, call: calls.Call
     ) -> contextlib.AbstractContextManager[anyio.CancelScope]:
         """Serve a call in a scope that ends when it is blocked."""
-        return self._withdrawals.hold(call)
+        return self._cancellations.track(call)
 
     def judge(self, call: calls.Call) -> suspects.Verdict:
         """Return whether a call may be sent to an endpoint."""
--- a/marigoldramp/gateway/demand_monitor.py
+++ b/marigoldramp/gateway/demand_monitor.py
@@ -14,7 +14,7 @@
 from .. import logs
 from . import endpoints
 from . import expert_demand
-from . import passes as pass_times
+from . import pass_times
 from . import ranks
 
 #: Seconds after a shift for which counts are taken before the first plan; with
@@ -146,7 +146,7 @@
         await self._read(names)
         await anyio.sleep(MEASURE_SECONDS)
         window = await self._read(names)
-        self._passes.accept()
+        self._passes.reset_baseline()
         if not self._shows_shift(window, self._measured, find_skew):
             self._add(window)
             self._quiet_until = self._clock() + QUIET_SECONDS
--- a/marigoldramp/gateway/contacts.py
+++ b/marigoldramp/gateway/dependency_health.py
@@ -10,7 +10,7 @@
 MOST_RETRY_FACTOR = 5
 
 
-def stretch_pause(seconds: float, *, position: int) -> float:
+def scale_retry_delay(seconds: float, *, position: int) -> float:
     """Return how long an entry waits before it tries the store again.
 
     Each next entry waits once more as long as the first.  Calls that the store
@@ -23,7 +23,7 @@
     return seconds * min(MOST_RETRY_FACTOR, 1 + position)
 
 
-class Contact:
+class DependencyHealth:
     """Notes answers and failures; logs when a dependency is lost or back.
 
     :param name: of the dependency, for the log.
--- a/marigoldramp/gateway/discovery.py
+++ b/marigoldramp/gateway/discovery.py
@@ -8,7 +8,7 @@
 
 from .. import logs
 from .. import store
-from . import contacts
+from . import dependency_health
 from . import endpoints
 from . import listings
 from . import presence as presence_module
@@ -104,7 +104,7 @@
         self.change_revision = 0
         self.settled_revision = 0
         self._asked_at = float('-inf')
-        self.store = contacts.Contact(
+        self.store = dependency_health.DependencyHealth(
             name='store', use='endpoints', clock=clock
         )
 
@@ -326,7 +326,9 @@
     async def _pause(self) -> None:
         """Wait after the store has not answered."""
         await anyio.sleep(
-            contacts.stretch_pause(RETRY_AFTER, position=self._position())
+            dependency_health.scale_retry_delay(
+                RETRY_AFTER, position=self._position()
+            )
         )
 
     def _note_failure(self, detail: str) -> None:
--- a/marigoldramp/gateway/dispatch.py
+++ b/marigoldramp/gateway/dispatch.py
@@ -15,26 +15,26 @@
 
 from .. import logs
 from .. import outcomes
+from . import circuit_breakers
+from . import concurrency_limits
 from . import deployment
 from . import endpoints
-from . import gates
-from . import pacing
 
 #: Requests that an endpoint without published slots is given at once.
 USUAL_SLOTS = 4
 #: Shortest time after which a refused caller is told to come back.
 LEAST_RETRY_AFTER = 0.1
 #: Maximum jitter in seconds added to the retry delay of refused callers.
-RETRY_JITTER = 0.5
+MAX_RETRY_JITTER_SECONDS = 0.5
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Demand:
+class SlotRequest:
     """A request for a place.
 
     :ivar priority: 0 is the most urgent.
-    :ivar until: time after which a place is of no use.
-    :ivar in_time_until: time until which a place lets the answer count in
+    :ivar start_by: time after which a place is of no use.
+    :ivar late_after: time until which a place lets the answer count in
         full; requests past it go behind all others of their priority.
     :ivar avoid: endpoints that are not to be used.
     :ivar repeated: the request was sent before.
@@ -44,8 +44,8 @@
 
     service: str
     priority: int
-    until: float
-    in_time_until: float = 0.0
+    start_by: float
+    late_after: float = 0.0
     avoid: frozenset[str] = frozenset()
     repeated: bool = False
     suspect: str = ''
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Place:
+class Slot:
     """The right to run one request on an endpoint."""
 
     endpoint: endpoints.Endpoint
@@ -70,7 +70,7 @@
 
     __slots__ = ('demand', 'arrived', 'event', 'endpoint')
 
-    def __init__(self, *, demand: Demand, arrived: float) -> None:
+    def __init__(self, *, demand: SlotRequest, arrived: float) -> None:
         self.demand = demand
         self.arrived = arrived
         self.event = anyio.Event()
@@ -82,7 +82,7 @@
         Under more load than can be served, strict order of arrival makes
         every answer late.  Those that can still be in time go first.
         """
-        is_late = now > self.demand.in_time_until
+        is_late = now > self.demand.late_after
         return self.demand.priority, is_late, self.arrived
 
 
@@ -104,8 +104,8 @@
         '_engine',
         '_accepted',
         '_queues',
-        '_gates',
-        '_paces',
+        '_breakers',
+        '_limiters',
     )
 
     def __init__(
@@ -116,29 +116,29 @@
         slots: Callable[[endpoints.Endpoint], float],
         random: random_module.Random,
         engine: Callable[[str], deployment.Engine | None] = lambda _: None,
-        accepted: Callable[[str], float] = lambda _: 0.0,
+        accepted_pause: Callable[[str], float] = lambda _: 0.0,
     ) -> None:
         self._table = table
         self._clock = clock
         self._slots = slots
         self._random = random
         self._engine = engine
-        self._accepted = accepted
+        self._accepted = accepted_pause
         self._queues: dict[str, list[_Waiter]] = {}
-        self._gates: dict[str, gates.Gate] = {}
-        self._paces: dict[str, pacing.Pace] = {}
+        self._breakers: dict[str, circuit_breakers.CircuitBreaker] = {}
+        self._limiters: dict[str, concurrency_limits.ConcurrencyLimiter] = {}
 
-    def pace(self, service: str) -> pacing.Pace:
+    def limiter(self, service: str) -> concurrency_limits.ConcurrencyLimiter:
         """Return the pace of a service."""
-        found = self._paces.get(service)
+        found = self._limiters.get(service)
         if found is None:
-            found = pacing.Pace(
+            found = concurrency_limits.ConcurrencyLimiter(
                 clock=self._clock,
                 running=lambda: self._find_running(service),
                 engine=lambda: self._engine(service),
-                accepted=lambda: self._accepted(service),
+                accepted_pause=lambda: self._accepted(service),
             )
-            self._paces[service] = found
+            self._limiters[service] = found
         return found
 
     def _find_running(self, service: str) -> float:
@@ -146,19 +146,21 @@
         known = self._table.of_usual_pace(service, now=self._clock())
         return sum(one.in_flight for one in known) / max(1, len(known))
 
-    def paced_services(self) -> list[str]:
+    def limited_services(self) -> list[str]:
         """Return the services whose pace is known."""
-        return list(self._paces)
+        return list(self._limiters)
 
-    def gate(self, service: str) -> gates.Gate:
+    def circuit_breaker(self, service: str) -> circuit_breakers.CircuitBreaker:
         """Return the gate of a service."""
-        found = self._gates.get(service)
+        found = self._breakers.get(service)
         if found is None:
-            found = gates.Gate(service=service, clock=self._clock)
-            self._gates[service] = found
+            found = circuit_breakers.CircuitBreaker(
+                service=service, clock=self._clock
+            )
+            self._breakers[service] = found
         return found
 
-    def waiting(self, service: str) -> int:
+    def count_waiting(self, service: str) -> int:
         """Return how many requests wait for a service."""
         return len(self._queues.get(service, ()))
 
@@ -166,27 +168,27 @@
         """Return the services for which requests wait."""
         return [name for name, queue in self._queues.items() if queue]
 
-    async def enter(self, demand: Demand) -> Place | outcomes.NotRun:
+    async def acquire(self, demand: SlotRequest) -> Slot | outcomes.NotRun:
         """Wait for a place; a cancelled caller leaves nothing behind."""
         arrived = self._clock()
-        if not self.waiting(demand.service):
+        if not self.count_waiting(demand.service):
             endpoint = self._take(demand)
             if endpoint is not None:
-                return Place(
+                return Slot(
                     endpoint=endpoint, waited=0.0, suspect=demand.suspect
                 )
         if not self._table.of_service(demand.service):
             return self._refuse(demand, 'no endpoint of the service is known')
-        if self._find_open_time(demand.service) > demand.until:
+        if self._find_open_time(demand.service) > demand.start_by:
             return self._refuse(demand, 'no endpoint takes requests in time')
         return await self._wait(demand, arrived)
 
-    def leave(self, place: Place) -> None:
+    def release(self, place: Slot) -> None:
         """Give a place back."""
         place.endpoint.leave(suspect=place.suspect)
-        self.serve(place.endpoint.record.service)
+        self.assign_slots(place.endpoint.record.service)
 
-    def serve(self, service: str) -> None:
+    def assign_slots(self, service: str) -> None:
         """Give free places to waiting requests."""
         queue = self._queues.get(service)
         if not queue:
@@ -207,22 +209,22 @@
         """Wake requests that no endpoint can take before their deadline."""
         open_time = self._find_open_time(service)
         for waiter in queue:
-            if open_time > waiter.demand.until:
+            if open_time > waiter.demand.start_by:
                 waiter.event.set()
 
-    def serve_all(self) -> None:
+    def assign_all_slots(self) -> None:
         """Look at all queues again, as endpoints may have come free."""
         for service in self.services():
-            self.serve(service)
+            self.assign_slots(service)
 
     async def _wait(
-        self, demand: Demand, arrived: float
-    ) -> Place | outcomes.NotRun:
+        self, demand: SlotRequest, arrived: float
+    ) -> Slot | outcomes.NotRun:
         waiter = _Waiter(demand=demand, arrived=arrived)
         queue = self._queues.setdefault(demand.service, [])
         queue.append(waiter)
         try:
-            with anyio.move_on_after(demand.until - arrived):
+            with anyio.move_on_after(demand.start_by - arrived):
                 await waiter.event.wait()
         except BaseException:
             self._abandon(queue, waiter)
@@ -230,7 +232,7 @@
         if waiter.endpoint is None:
             self._abandon(queue, waiter)
             return self._refuse(demand, 'no endpoint had room in time')
-        return Place(
+        return Slot(
             endpoint=waiter.endpoint,
             waited=self._clock() - arrived,
             suspect=demand.suspect,
@@ -246,34 +248,36 @@
             queue.remove(waiter)
             return
         waiter.endpoint.leave(suspect=waiter.demand.suspect)
-        self.serve(waiter.demand.service)
+        self.assign_slots(waiter.demand.service)
 
-    def _take(self, demand: Demand) -> endpoints.Endpoint | None:
-        gate = self.gate(demand.service)
-        if not gate.lets_through(repeated=demand.repeated):
+    def _take(self, demand: SlotRequest) -> endpoints.Endpoint | None:
+        breaker = self.circuit_breaker(demand.service)
+        if not breaker.allows(repeated=demand.repeated):
             return None
-        pace = self.pace(demand.service)
-        if self._is_paced_out(demand.service, pace):
+        limiter = self.limiter(demand.service)
+        if self._is_at_limit(demand.service, limiter):
             return None
         endpoint = self._table.choose(
             service=demand.service,
             now=self._clock(),
-            slots=lambda one: math.ceil(pace.limit(self._slots(one))),
+            slots=lambda one: math.ceil(limiter.limit(self._slots(one))),
             avoid=demand.avoid,
             suspect=demand.suspect,
         )
         if endpoint is not None:
             endpoint.enter(suspect=demand.suspect)
-            gate.note_trial()
+            breaker.note_trial()
         return endpoint
 
-    def _is_paced_out(self, service: str, pace: pacing.Pace) -> bool:
+    def _is_at_limit(
+        self, service: str, limiter: concurrency_limits.ConcurrencyLimiter
+    ) -> bool:
         """Whether all endpoints together run as many as they should."""
         known = self._table.of_usual_pace(service, now=self._clock())
-        room = sum(pace.limit(self._slots(one)) for one in known)
+        room = sum(limiter.limit(self._slots(one)) for one in known)
         return sum(one.in_flight for one in known) >= room
 
-    def _refuse(self, demand: Demand, detail: str) -> outcomes.NotRun:
+    def _refuse(self, demand: SlotRequest, detail: str) -> outcomes.NotRun:
         known = self._table.of_service(demand.service)
         now = self._clock()
         logging.info(
@@ -284,7 +288,7 @@
                 endpoints=len(known),
                 open=sum(one.is_open(now=now) for one in known),
                 in_flight=sum(one.in_flight for one in known),
-                waiting=self.waiting(demand.service),
+                waiting=self.count_waiting(demand.service),
             ),
         )
         return outcomes.NotRun(
@@ -312,18 +316,18 @@
         delay = self._find_open_time(service) - self._clock()
         if delay > 0.0:
             # Jitter keeps callers from retrying together and failing again.
-            return delay + self._random.uniform(0.0, RETRY_JITTER)
+            return delay + self._random.uniform(0.0, MAX_RETRY_JITTER_SECONDS)
         known = self._table.of_service(service)
         slots = sum(self._slots(one) for one in known)
         times = [one.seconds for one in known if one.seconds]
         if not slots or not times:
             return LEAST_RETRY_AFTER * 5.0
         mean = sum(times) / len(times)
-        queued = self.waiting(service) + 1
+        queued = self.count_waiting(service) + 1
         return max(LEAST_RETRY_AFTER, mean * queued / slots)
 
 
-def usual_slots(
+def find_slots(
     endpoint: endpoints.Endpoint, engine: deployment.Engine | None
 ) -> float:
     """Return how many requests an endpoint runs at once."""
--- a/marigoldramp/gateway/endpoint_ends.py
+++ b/marigoldramp/gateway/endpoint_ends.py
@@ -235,7 +235,7 @@
                     trace.silent = True
                     return
                 case outbound.Connection():
-                    if await found.lasts(BREAK_SECONDS):
+                    if await found.stays_open(BREAK_SECONDS):
                         return
 
     async def _settle(self, run: Run, trace: _Trace) -> None:
--- a/marigoldramp/gateway/endpoint_signals.py
+++ b/marigoldramp/gateway/endpoint_signals.py
@@ -46,7 +46,7 @@
         logging.info(
             'sent during backoff',
             extra=logs.fields(
-                request=call.facts.attempt,
+                request=call.facts.attempt_id,
                 endpoint=endpoint.identity,
                 left=round(left, 4),
                 sends=call.sends,
@@ -71,7 +71,7 @@
         logging.info(
             'endpoint asked for backoff',
             extra=logs.fields(
-                request=call.facts.attempt,
+                request=call.facts.attempt_id,
                 endpoint=endpoint.identity,
                 seconds=facts.retry_after,
             ),
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -24,7 +24,7 @@
 from . import demand_monitor
 from . import endpoints
 from . import expert_demand
-from . import passes as pass_times
+from . import pass_times
 from . import ranks
 
 #: Seconds for which one look for a shift lasts; then the leader looks at the
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -13,6 +13,7 @@
 from .. import problems
 from . import admission as admission_module
 from . import attempts
+from . import call_deadlines
 from . import calls
 from . import containment as containment_module
 from . import deployment
@@ -21,7 +22,6 @@
 from . import inbound
 from . import retry_budget
 from . import suspects
-from . import urgency
 
 #: Places at which a request may be tried without anything being sent.
 MOST_UNREACHED = 4
@@ -64,7 +64,7 @@
         *,
         admission: admission_module.Admission,
         dispatcher: dispatch.Dispatcher,
-        runner: attempts.Attempts,
+        runner: attempts.AttemptRunner,
         budget: retry_budget.RetryBudget,
         containment: containment_module.Containment,
         random: random_module.Random,
@@ -146,7 +146,7 @@
                         continue
                     return await self._end(call, _describe(result))
 
-    async def _find_place(self, call: calls.Call) -> dispatch.Place | NotRun:
+    async def _find_place(self, call: calls.Call) -> dispatch.Slot | NotRun:
         """Wait for a place, unless the call is blocked or becomes so."""
         while True:
             verdict = self._containment.judge(call)
@@ -156,20 +156,20 @@
                 case suspects.Undecided(seconds=seconds):
                     await anyio.sleep(seconds)
                     continue
-            found = await self._dispatcher.enter(
-                dispatch.Demand(
+            found = await self._dispatcher.acquire(
+                dispatch.SlotRequest(
                     service=call.service,
                     priority=call.priority,
-                    until=urgency.find_latest_start(call),
-                    in_time_until=urgency.find_in_time_until(call),
-                    avoid=call.tried,
+                    start_by=call_deadlines.find_latest_start(call),
+                    late_after=call_deadlines.find_late_after(call),
+                    avoid=call.excluded_endpoints,
                     repeated=call.sends > 0,
                     suspect=_name_suspect(call, verdict),
                 )
             )
             if isinstance(found, NotRun) or self._may_go(call):
                 return found
-            self._dispatcher.leave(found)
+            self._dispatcher.release(found)
 
     def _may_go(self, call: calls.Call) -> bool:
         """Whether a call may still be sent once it has a place."""
@@ -199,7 +199,7 @@
             await anyio.sleep(self._random.uniform(0.0, APART_SECONDS))
 
     async def _attempt(
-        self, call: calls.Call, place: dispatch.Place
+        self, call: calls.Call, place: dispatch.Slot
     ) -> attempts.Result:
         endpoint = place.endpoint
         run = self._containment.begin(call, endpoint)
@@ -209,7 +209,7 @@
             self._containment.abandon(run)
             raise
         finally:
-            self._dispatcher.leave(place)
+            self._dispatcher.release(place)
         seconds = self._clock() - run.begun
         result = await self._containment.conclude(run, result)
         self._learn(call, endpoint, result, seconds)
@@ -224,24 +224,24 @@
     ) -> None:
         """Note what an attempt says about its endpoint."""
         now = self._clock()
-        gate = self._dispatcher.gate(call.service)
+        breaker = self._dispatcher.circuit_breaker(call.service)
         match result:
             case attempts.Streamed():
                 # How soon a stream begins says more about the group's load
                 # than about the endpoint: all its ranks make passes together.
                 endpoint.note_success(seconds=seconds)
                 endpoint.quality.note_success(now=now)
-                gate.note_progress()
+                breaker.note_success()
                 return
             case attempts.Answer(status=status) if status < 500:
                 endpoint.note_success(seconds=seconds)
                 endpoint.quality.note_answer(seconds=seconds, now=now)
-                gate.note_progress()
+                breaker.note_success()
                 return
             case attempts.Answer():
                 endpoint.note_success(seconds=seconds)
                 endpoint.quality.note_error(now=now)
-                gate.note_progress()
+                breaker.note_success()
                 return
             case attempts.Declined(status=attempts.WRONG_ENDPOINT):
                 endpoint.note_failure(now=now)
@@ -250,16 +250,16 @@
                 endpoint.note_full(now=now)
                 if not backoff:
                     # A backoff concerns one endpoint, not the whole service.
-                    gate.note_failure()
+                    breaker.note_failure()
             case attempts.Unreached() | attempts.Broken():
                 endpoint.note_failure(now=now)
                 endpoint.quality.note_break(now=now)
-                gate.note_failure()
+                breaker.note_failure()
                 call.avoid(endpoint.identity)
         logging.info(
             'attempt failed',
             extra=logs.fields(
-                request=call.facts.attempt,
+                request=call.facts.attempt_id,
                 endpoint=endpoint.identity,
                 result=type(result).__name__,
                 detail=getattr(result, 'detail', ''),
@@ -334,7 +334,7 @@
             refusal = OutcomeUnknown(
                 reason=refusal.reason, detail=refusal.detail
             )
-        await self._refuse(call.exchange, refusal, call.facts.attempt)
+        await self._refuse(call.exchange, refusal, call.facts.attempt_id)
         kind = 'refused' if isinstance(refusal, NotRun) else 'unknown'
         return f'{kind}:{refusal.reason.value}'
 
@@ -396,7 +396,7 @@
         logging.info(
             'request ended',
             extra=logs.fields(
-                request=call.facts.attempt,
+                request=call.facts.attempt_id,
                 outcome=outcome,
                 route=call.route.name,
                 service=call.service,
--- a/marigoldramp/gateway/inbound.py
+++ b/marigoldramp/gateway/inbound.py
@@ -27,7 +27,7 @@
 #: with unread bytes resets it, and the caller may never see the answer.
 LINGER_SECONDS = 1.0
 #: Bounds while no configuration is known.
-UNKNOWN_LIMITS = deployment.Limits(
+DEFAULT_LIMITS = deployment.Limits(
     head_bytes=16384,
     body_bytes=1048576,
     head_seconds=3.0,
@@ -82,7 +82,7 @@
         'request',
         'begun',
         'ended',
-        '_leaving',
+        '_is_stopping',
         '_stream',
         '_h11',
     )
@@ -93,25 +93,25 @@
         head: Head,
         stream: tcp_streams.Stream,
         connection: h11.Connection,
-        leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         self.head = head
         self.request = ''
         self.begun = False
         self.ended = False
-        self._leaving = leaving
+        self._is_stopping = is_stopping
         self._stream = stream
         self._h11 = connection
 
     async def read_body(
-        self, *, most: int, seconds: float
+        self, *, max_bytes: int, seconds: float
     ) -> bytes | BodyFault:
         """Return the whole body."""
-        if self._declared_length() > most:
+        if self._declared_length() > max_bytes:
             return BodyFault.TOO_LARGE
         try:
             with anyio.fail_after(seconds):
-                return await self._read_body(most)
+                return await self._read_body(max_bytes)
         except TimeoutError:
             return BodyFault.TOO_SLOW
         except (h11.RemoteProtocolError, httpcore.NetworkError):
@@ -131,7 +131,7 @@
     async def begin(self, *, status: int, headers: codecs.Headers) -> None:
         """Send the head of an answer."""
         sent = list(headers)
-        if self._leaving() or self._h11.their_state is h11.SEND_BODY:
+        if self._is_stopping() or self._h11.their_state is h11.SEND_BODY:
             sent.append((b'connection', b'close'))
         self.begun = True
         await self._write(
@@ -158,7 +158,7 @@
                 return int(value)
         return 0
 
-    async def _read_body(self, most: int) -> bytes | BodyFault:
+    async def _read_body(self, max_bytes: int) -> bytes | BodyFault:
         if self._h11.they_are_waiting_for_100_continue:
             await self._write(
                 self._h11.send(
@@ -171,7 +171,7 @@
             match event:
                 case h11.Data():
                     body += event.data
-                    if len(body) > most:
+                    if len(body) > max_bytes:
                         return BodyFault.TOO_LARGE
                 case h11.EndOfMessage():
                     return bytes(body)
@@ -201,7 +201,7 @@
         '_h11',
         '_handler',
         '_limits',
-        '_leaving',
+        '_is_stopping',
         '_idle_since',
     )
 
@@ -211,12 +211,12 @@
         stream: tcp_streams.Stream,
         handler: Handler,
         limits: Callable[[], deployment.Limits],
-        leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         self._stream = stream
         self._handler = handler
         self._limits = limits
-        self._leaving = leaving
+        self._is_stopping = is_stopping
         self._h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits().head_bytes
         )
@@ -257,7 +257,7 @@
             head=head,
             stream=self._stream,
             connection=self._h11,
-            leaving=self._leaving,
+            is_stopping=self._is_stopping,
         )
         await self._handle(exchange)
         if not exchange.ended:
--- a/marigoldramp/gateway/leader_election.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -28,7 +28,7 @@
 from . import expert_planner
 from . import group_lease
 from . import group_members
-from . import passes as pass_times
+from . import pass_times
 from . import rank_transport
 from . import ranks
 
--- a/marigoldramp/gateway/listeners.py
+++ b/marigoldramp/gateway/listeners.py
@@ -13,7 +13,7 @@
 #: is full an opening packet is dropped and comes again after seconds.
 BACKLOG = 1024
 
-Serve = Callable[[tcp_streams.Stream], Awaitable[None]]
+ServeConnection = Callable[[tcp_streams.Stream], Awaitable[None]]
 
 
 class _Accepted(tcp_streams.Stream):
@@ -39,11 +39,13 @@
     :param most: connections open at once; more are closed unread.
     """
 
-    __slots__ = ('_serve', '_most', '_open', '_server', '_tasks')
+    __slots__ = ('_serve', '_max_connections', '_open', '_server', '_tasks')
 
-    def __init__(self, *, serve: Serve, most: int) -> None:
+    def __init__(
+        self, *, serve: ServeConnection, max_connections: int
+    ) -> None:
         self._serve = serve
-        self._most = most
+        self._max_connections = max_connections
         self._open = 0
         self._server: asyncio.Server | None = None
         self._tasks: anyio.abc.TaskGroup | None = None
@@ -70,7 +72,7 @@
 
     def _accept(self, stream: tcp_streams.Stream) -> None:
         assert self._tasks is not None
-        if self._open >= self._most:
+        if self._open >= self._max_connections:
             stream.abort()
             return
         self._open += 1
--- a/marigoldramp/gateway/outbound.py
+++ b/marigoldramp/gateway/outbound.py
@@ -29,7 +29,11 @@
 MOST_IDLE_SECONDS = 10.0
 
 #: What a connection can raise once a request has been begun on it.
-LOST = (httpcore.NetworkError, httpcore.TimeoutException, h11.ProtocolError)
+CONNECTION_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.TimeoutException,
+    h11.ProtocolError,
+)
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -134,7 +138,7 @@
         """Close at once; the endpoint drops what it was still doing."""
         self._stream.abort()
 
-    async def lasts(self, seconds: float) -> bool:
+    async def stays_open(self, seconds: float) -> bool:
         """Close a connection after a time; whether it stood until then."""
         try:
             with anyio.move_on_after(seconds):
@@ -198,13 +202,13 @@
 class Pool:
     """Idle connections by endpoint.
 
-    :param most_idle: connections kept for one endpoint.
+    :param max_idle: connections kept for one endpoint.
     """
 
-    __slots__ = ('_most_idle', '_idle', 'opened')
+    __slots__ = ('_max_idle', '_idle', 'opened')
 
-    def __init__(self, *, most_idle: int) -> None:
-        self._most_idle = most_idle
+    def __init__(self, *, max_idle: int) -> None:
+        self._max_idle = max_idle
         self._idle: dict[str, collections.deque[Connection]] = {}
         self.opened = 0
 
@@ -250,7 +254,7 @@
     def give_back(self, *, identity: str, connection: Connection) -> None:
         """Keep a connection whose answer has ended, if it is sound."""
         idle = self._idle.setdefault(identity, collections.deque())
-        if len(idle) < self._most_idle and connection.renew(
+        if len(idle) < self._max_idle and connection.renew(
             now=ages.read_clock()
         ):
             idle.append(connection)
@@ -289,7 +293,7 @@
     detail: str
 
 
-async def exchange(
+async def send_request(
     *,
     pool: Pool,
     address: Address,
@@ -328,7 +332,7 @@
             return Reply(status=head.status, body=bytes(content))
     except TimeoutError:
         return NoReply(detail='no answer in time')
-    except LOST as error:
+    except CONNECTION_ERRORS as error:
         return NoReply(detail=f'{type(error).__name__}: {error}')
     finally:
         if whole:
--- a/marigoldramp/gateway/passes.py
+++ b/marigoldramp/gateway/pass_times.py
@@ -82,13 +82,13 @@
         self._own = 0.0
         self._own_at = float('-inf')
 
-    def note(self, seconds: float) -> None:
+    def note_local(self, seconds: float) -> None:
         """Learn of the time between two events of one stream of ours."""
         self._own = seconds
         self._own_at = self._clock()
-        self.note_told(seconds)
+        self.note_reported(seconds)
 
-    def own(self) -> float:
+    def last_local(self) -> float:
         """Return the last pass that a stream of ours has shown, 0 if none.
 
         What peers have told is left out, or it would go round for ever.
@@ -96,7 +96,7 @@
         is_new = self._clock() - self._own_at <= TELL_SECONDS
         return self._own if is_new else 0.0
 
-    def note_told(self, seconds: float) -> None:
+    def note_reported(self, seconds: float) -> None:
         """Learn of a pass that a stream has shown, maybe at a peer."""
         now = self._clock()
         if now - self._at < SAME_PASS * seconds:
@@ -131,7 +131,7 @@
             a_request=with_requests / max(1.0, self._running()),
         )
 
-    def accept(self) -> None:
+    def reset_baseline(self) -> None:
         """Take the passes of now for the usual ones."""
         self._usual.clear()
 
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -174,8 +174,8 @@
 
 async def fetch(*, address: outbound.Address, path: str) -> bytes | None:
     """Return a page of a peer, ``None`` if it could not be had."""
-    reply = await outbound.exchange(
-        pool=outbound.Pool(most_idle=0),
+    reply = await outbound.send_request(
+        pool=outbound.Pool(max_idle=0),
         address=address,
         identity='',
         method=b'GET',
@@ -209,8 +209,8 @@
 
     :returns: ``None`` if the entry could not be asked.
     """
-    reply = await outbound.exchange(
-        pool=outbound.Pool(most_idle=0),
+    reply = await outbound.send_request(
+        pool=outbound.Pool(max_idle=0),
         address=address,
         identity='',
         method=b'POST',
--- a/marigoldramp/gateway/periodic_tasks.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -89,7 +89,7 @@
         while True:
             await anyio.sleep(SERVE_EVERY)
             self._parts.containment.refresh()
-            self._parts.dispatcher.serve_all()
+            self._parts.dispatcher.assign_all_slots()
 
     async def _keep_house(self) -> None:
         parts = self._parts
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -92,14 +92,14 @@
         self._peer_source = peer_exchange.PeerSource(
             peers=self.peers, random=random
         )
-        self.pool = outbound.Pool(most_idle=MOST_IDLE_PER_ENDPOINT)
+        self.pool = outbound.Pool(max_idle=MOST_IDLE_PER_ENDPOINT)
         self.dispatcher = dispatch.Dispatcher(
             table=self.table,
             clock=clock,
             slots=self._slots,
             random=random,
             engine=self._engine,
-            accepted=lambda service: (
+            accepted_pause=lambda service: (
                 self.active_configuration.routes.accepted_pause(service)
             ),
         )
@@ -128,7 +128,7 @@
         self.forwarder = forwarding.Forwarder(
             admission=self.admission,
             dispatcher=self.dispatcher,
-            runner=attempts.Attempts(
+            runner=attempts.AttemptRunner(
                 codec=adapter.codec,
                 pool=self.pool,
                 signals=endpoint_signals.EndpointSignals(
@@ -211,9 +211,11 @@
             led_by_peers=self.peers.led_groups,
             denies_leading=self.peers.is_idle,
             is_gone=self.peers.is_lost,
-            pause_share=lambda service: self.dispatcher.pace(service).share,
-            passes=lambda service: self.dispatcher.pace(service).passes,
-            concurrency_limit=lambda service, slots: self.dispatcher.pace(
+            pause_share=lambda service: self.dispatcher.limiter(
+                service
+            ).pause_ratio,
+            passes=lambda service: self.dispatcher.limiter(service).pass_times,
+            concurrency_limit=lambda service, slots: self.dispatcher.limiter(
                 service
             ).limit(slots),
             api=adapter.ranks,
@@ -361,7 +363,7 @@
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
         settings = self.settings
-        most = max(64, settings.descriptors - SPARE_DESCRIPTORS)
+        max_connections = max(64, settings.descriptors - SPARE_DESCRIPTORS)
         pages = peer_exchange.PeerPages(
             configuration=self.active_configuration,
             follower=self.follower,
@@ -370,7 +372,7 @@
             release=self.containment.release,
         )
         self._call_listener = listeners.Listener(
-            serve=self._serve_calls, most=most
+            serve=self._serve_calls, max_connections=max_connections
         )
         self._listeners.append(self._call_listener)
         places: list[tuple[outbound.Address | None, adapter_module.Page]] = [
@@ -382,7 +384,8 @@
         for address, page in places:
             if address is not None:
                 listener = listeners.Listener(
-                    serve=self._make_server(page), most=most
+                    serve=self._make_server(page),
+                    max_connections=max_connections,
                 )
                 self._listeners.append(listener)
                 port = await listener.listen(
@@ -397,13 +400,15 @@
                 tasks=tasks,
             )
 
-    def _make_server(self, page: adapter_module.Page) -> listeners.Serve:
+    def _make_server(
+        self, page: adapter_module.Page
+    ) -> listeners.ServeConnection:
         async def serve(stream: tcp_streams.Stream) -> None:
             connection = inbound.Connection(
                 stream=stream,
                 handler=page,
-                limits=lambda: inbound.UNKNOWN_LIMITS,
-                leaving=lambda: False,
+                limits=lambda: inbound.DEFAULT_LIMITS,
+                is_stopping=lambda: False,
             )
             await connection.serve()
 
@@ -414,7 +419,7 @@
             stream=stream,
             handler=self.forwarder.handle,
             limits=self._limits,
-            leaving=lambda: self.leaving,
+            is_stopping=lambda: self.leaving,
         )
         self._connections.add(connection)
         try:
@@ -434,7 +439,7 @@
 
     def _limits(self) -> deployment.Limits:
         config = self.active_configuration.current
-        return inbound.UNKNOWN_LIMITS if config is None else config.limits
+        return inbound.DEFAULT_LIMITS if config is None else config.limits
 
     def _services(self) -> tuple[deployment.Service, ...]:
         """Return the services whose groups may be led."""
@@ -445,14 +450,14 @@
 
     def _note_events(self, call: calls.Call, pause: float) -> None:
         """Learn from events of a stream how its service does."""
-        gate = self.dispatcher.gate(call.service)
-        was_shut = gate.is_shut
-        gate.note_progress()
-        if was_shut:
-            self.dispatcher.serve(call.service)
+        breaker = self.dispatcher.circuit_breaker(call.service)
+        was_tripped = breaker.is_tripped
+        breaker.note_success()
+        if was_tripped:
+            self.dispatcher.assign_slots(call.service)
         if pause:
-            self.dispatcher.pace(call.service).note_pause(
-                seconds=pause, accepted=call.route.longest_pause
+            self.dispatcher.limiter(call.service).note_pause(
+                seconds=pause, accepted_pause=call.route.longest_pause
             )
 
     def _engine(self, service: str) -> deployment.Engine | None:
@@ -462,7 +467,7 @@
 
     def _slots(self, endpoint: endpoints.Endpoint) -> float:
         engine = self._engine(endpoint.record.service)
-        return dispatch.usual_slots(endpoint, engine)
+        return dispatch.find_slots(endpoint, engine)
 
     # Peers
 
@@ -478,7 +483,7 @@
 
     def _note_endpoints(self) -> None:
         """Act on a change of the endpoints that are known."""
-        self.dispatcher.serve_all()
+        self.dispatcher.assign_all_slots()
         if not self.follower.relies():
             # Peers that do not ask the store learn of it from us.
             self._tell_peers()
--- a/marigoldramp/gateway/refresh.py
+++ b/marigoldramp/gateway/refresh.py
@@ -13,7 +13,7 @@
 
 from .. import store
 from . import configurations
-from . import contacts
+from . import dependency_health
 
 #: Age of a confirmation at which the first entry reads the store, in
 #: seconds, what each next one waits longer, and the longest age.  It takes up
@@ -75,7 +75,7 @@
         self._heard = 0
         self._wake = anyio.Event()
         self._not_before = float('-inf')
-        self.store = contacts.Contact(
+        self.store = dependency_health.DependencyHealth(
             name='store', use='configuration', clock=clock
         )
 
@@ -130,7 +130,7 @@
 
     def _pause(self) -> None:
         """Read no sooner than after a pause, the longer the later we come."""
-        self._not_before = self._clock() + contacts.stretch_pause(
+        self._not_before = self._clock() + dependency_health.scale_retry_delay(
             RETRY_AFTER, position=self._position()
         )
 
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -119,12 +119,12 @@
         self._take_confirmation(report)
         self._take_slow(report)
         for service, seconds in report.passes.items():
-            self._parts.dispatcher.pace(service).note_told(seconds)
+            self._parts.dispatcher.limiter(service).note_reported(seconds)
         for identity in touched:
             endpoint = self._parts.table.find(identity)
             if endpoint is not None:
                 endpoint.elsewhere = self._parts.peers.in_flight(identity)
-        self._parts.dispatcher.serve_all()
+        self._parts.dispatcher.assign_all_slots()
 
     def _describe(self, now: float) -> peer_reports.Report:
         """Return a report as of now, without an echo."""
@@ -203,8 +203,8 @@
         """Return the last passes that our streams have shown."""
         dispatcher = self._parts.dispatcher
         passes = {
-            service: dispatcher.pace(service).passes.own()
-            for service in dispatcher.paced_services()
+            service: dispatcher.limiter(service).pass_times.last_local()
+            for service in dispatcher.limited_services()
         }
         return {
             service: round(seconds, 3)
--- a/marigoldramp/gateway/status.py
+++ b/marigoldramp/gateway/status.py
@@ -175,8 +175,8 @@
         dispatcher = self._parts.dispatcher
         return QueueStatus(
             service=service,
-            waiting=dispatcher.waiting(service),
-            share=round(dispatcher.pace(service).share, 3),
+            waiting=dispatcher.count_waiting(service),
+            share=round(dispatcher.limiter(service).pause_ratio, 3),
         )
 
     def _describe_endpoint(self, one: endpoints.Endpoint) -> EndpointStatus:
--- a/marigoldramp/gateway/suspect_keeper.py
+++ b/marigoldramp/gateway/suspect_keeper.py
@@ -14,7 +14,7 @@
 
 from .. import logs
 from .. import store as store_module
-from . import contacts
+from . import dependency_health
 from . import suspects
 
 KIND = 'marigoldramp-suspects'
@@ -85,7 +85,9 @@
 
     async def _pause(self) -> None:
         await anyio.sleep(
-            contacts.stretch_pause(RETRY_AFTER, position=self._position())
+            dependency_health.scale_retry_delay(
+                RETRY_AFTER, position=self._position()
+            )
         )
 
     async def _keep(self) -> bool:
--- a/marigoldramp/platform/headers.py
+++ b/marigoldramp/platform/headers.py
@@ -60,7 +60,7 @@
         found = dict(headers)
         prompt, answer = _read_tokens(found.get(TOKENS, b''))
         return codecs.RequestFacts(
-            attempt=found.get(ATTEMPT, b'').decode('latin-1'),
+            attempt_id=found.get(ATTEMPT, b'').decode('latin-1'),
             seconds=_read_seconds(found.get(BUDGET)),
             key=_read_key(found.get(KEY, b'').decode('latin-1')),
             last_event=found.get(LAST_EVENT, b'').decode('latin-1'),
@@ -69,20 +69,20 @@
         )
 
     def write_request(
-        self, headers: codecs.Headers, sending: codecs.Sending
+        self, headers: codecs.Headers, outgoing: codecs.OutgoingFacts
     ) -> codecs.Headers:
         written = [
             pair
             for pair in asgi.keep_end_to_end(headers)
             if pair[0] not in _REPLACED
         ]
-        left = max(1, int(sending.seconds * MILLISECONDS))
+        left = max(1, int(outgoing.seconds * MILLISECONDS))
         written.append((BUDGET, b'%d' % left))
-        written.append((ENDPOINT, sending.identity.encode('latin-1')))
-        if sending.customer:
-            written.append((CUSTOMER, sending.customer.encode('latin-1')))
-        if sending.last_event:
-            written.append((LAST_EVENT, sending.last_event.encode('latin-1')))
+        written.append((ENDPOINT, outgoing.identity.encode('latin-1')))
+        if outgoing.customer:
+            written.append((CUSTOMER, outgoing.customer.encode('latin-1')))
+        if outgoing.last_event:
+            written.append((LAST_EVENT, outgoing.last_event.encode('latin-1')))
         return written
 
     def read_answer(
@@ -90,10 +90,11 @@
     ) -> codecs.AnswerFacts:
         found = dict(headers)
         return codecs.AnswerFacts(
-            attempt=found.get(ATTEMPT, b'').decode('latin-1'),
-            sealed=SEAL in found,
+            attempt_id=found.get(ATTEMPT, b'').decode('latin-1'),
+            signed=SEAL in found,
             not_run=NOT_RUN in found or status == WRONG_ENDPOINT,
-            encoded=found.get(ENCODING, b'identity') != b'identity',
+            has_unrequested_encoding=found.get(ENCODING, b'identity')
+            != b'identity',
             load=_read_load(found.get(LOAD, b'')),
             leaving=_read_leaving(status, headers),
             retry_after=_read_retry_after(status, headers),
--- a/marigoldramp/platform/ranks.py
+++ b/marigoldramp/platform/ranks.py
@@ -101,7 +101,7 @@
     __slots__ = ('_pool', '_limiter', '_map_limiter', '_link_rate', '_encoder')
 
     def __init__(self, *, link_rate: float) -> None:
-        self._pool = outbound.Pool(most_idle=MOST_IDLE)
+        self._pool = outbound.Pool(max_idle=MOST_IDLE)
         self._limiter = anyio.CapacityLimiter(MOST_AT_ONCE)
         self._map_limiter = anyio.CapacityLimiter(MOST_MAPS_AT_ONCE)
         self._link_rate = link_rate
@@ -176,7 +176,7 @@
             limiter = self._map_limiter
         async with limiter:
             body = self._encoder.encode(order)
-            reply = await outbound.exchange(
+            reply = await outbound.send_request(
                 pool=self._pool,
                 address=address,
                 identity=identity,
@@ -203,7 +203,7 @@
         self, address: outbound.Address, identity: str, path: str
     ) -> bytes | ranks.NoReply:
         async with self._limiter:
-            reply = await outbound.exchange(
+            reply = await outbound.send_request(
                 pool=self._pool,
                 address=address,
                 identity=identity,
--- a/marigoldramp_measure/decisions.py
+++ b/marigoldramp_measure/decisions.py
@@ -8,10 +8,10 @@
 from typing import Callable
 
 from marigoldramp import expert_maps
+from marigoldramp.gateway import concurrency_limits
 from marigoldramp.gateway import deployment
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import expert_planner
-from marigoldramp.gateway import pacing
 from marigoldramp.gateway import rank_transport
 from marigoldramp import layer_moves
 from marigoldramp import map_moves
@@ -114,13 +114,15 @@
     def count() -> float:
         return sum(one.in_flight for one in table) / ranks
 
-    pace = pacing.Pace(clock=lambda: now, running=count)
-    pace.limit(5.0)
+    limiter = concurrency_limits.ConcurrencyLimiter(
+        clock=lambda: now, running=count
+    )
+    limiter.limit(5.0)
 
     def note() -> None:
         nonlocal now
         now += 0.1
-        pace.note_pause(seconds=0.1, accepted=0.12)
+        limiter.note_pause(seconds=0.1, accepted_pause=0.12)
 
     return note
 
--- a/marigoldramp_soak/objects.py
+++ b/marigoldramp_soak/objects.py
@@ -112,7 +112,7 @@
                 'More': False,
                 'AtRev': self.revision,
             }
-        body = await exchange.read_body(most=1 << 20, seconds=5.0)
+        body = await exchange.read_body(max_bytes=1 << 20, seconds=5.0)
         sent = json.loads(body)
         name = name or sent['Metadata']['Name']
         found = kinds.get(name)
@@ -159,11 +159,11 @@
         connection = inbound.Connection(
             stream=stream,
             handler=handler,
-            limits=lambda: inbound.UNKNOWN_LIMITS,
-            leaving=lambda: False,
+            limits=lambda: inbound.DEFAULT_LIMITS,
+            is_stopping=lambda: False,
         )
         await connection.serve()
 
-    listener = listeners.Listener(serve=run, most=1000)
+    listener = listeners.Listener(serve=run, max_connections=1000)
     bound = await listener.listen(host=host, port=port, tasks=tasks)
     return listener, bound
--- a/marigoldramp_soak/proxies.py
+++ b/marigoldramp_soak/proxies.py
@@ -29,7 +29,7 @@
         self._open = set()
         self._silent = set()
         self._listener = listeners.Listener(
-            serve=self._handle, most=MOST_CONNECTIONS
+            serve=self._handle, max_connections=MOST_CONNECTIONS
         )
 
     async def listen(self, tasks):
--- a/marigoldramp_soak/ranks.py
+++ b/marigoldramp_soak/ranks.py
@@ -192,7 +192,9 @@
         await exchange.respond(status=200, headers=[JSON], body=body)
 
     async def _take(self, exchange):
-        order = json.loads(await exchange.read_body(most=1 << 20, seconds=5.0))
+        order = json.loads(
+            await exchange.read_body(max_bytes=1 << 20, seconds=5.0)
+        )
         draw = self._group.draw
         if draw.random() >= self._group.lost_share:
             status = self._obey(order)
--- a/marigoldramp_soak/runners.py
+++ b/marigoldramp_soak/runners.py
@@ -102,7 +102,7 @@
         if self.rank is not None and exchange.head.path.startswith(ranks.PATH):
             await self.rank.handle(exchange)
             return
-        await exchange.read_body(most=1 << 20, seconds=5.0)
+        await exchange.read_body(max_bytes=1 << 20, seconds=5.0)
         arrival = Arrival(
             request=request,
             at=anyio.current_time(),
--- a/tests/adapter/test_platform.py
+++ b/tests/adapter/test_platform.py
@@ -215,7 +215,7 @@
             (b'last-event-id', b'3'),
             (b'time-budget-ms', b'9'),
         ],
-        codecs.Sending(
+        codecs.OutgoingFacts(
             seconds=1.2345, identity='i-1', customer='c', last_event='12'
         ),
     )
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize(
-    ('status', 'sent', 'not_run', 'sealed'),
+    ('status', 'sent', 'not_run', 'signed'),
     [
         (200, [(b'runner-seal', b's')], False, True),
         (503, [(b'not-executed', b'1')], True, False),
@@ -240,9 +240,9 @@
         (503, [], False, False),
     ],
 )
-def test_answer_headers(status, sent, not_run, sealed):
+def test_answer_headers(status, sent, not_run, signed):
     found = headers.Codec().read_answer(status, sent)
-    assert (found.not_run, found.sealed) == (not_run, sealed)
+    assert (found.not_run, found.signed) == (not_run, signed)
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/test_urgency.py
+++ b/tests/gateway/test_call_deadlines.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from marigoldramp.gateway import urgency
+from marigoldramp.gateway import call_deadlines
 
 from . import fake_endpoint as fake
 from . import site
@@ -38,19 +38,19 @@
 )
 def test_usual_time_is_the_longest_stated_lately(asked, expected):
     clock = Clock()
-    stated = urgency.StatedTimes(clock=clock)
+    stated = call_deadlines.StatedTimeouts(clock=clock)
     for at, seconds in asked:
         clock.now = at
-        found = stated.find_usual(route='r', stated=seconds)
+        found = stated.find_longest(route='r', stated=seconds)
     assert found == expected
-    assert stated.find_usual(route='other', stated=1.0) == 1.0
+    assert stated.find_longest(route='other', stated=1.0) == 1.0
 
 
 def make_call(*, runs=0, asked=100.0, whole=8.0, **route):
     return types.SimpleNamespace(
         runs=runs,
         arrived=100.0,
-        asked=asked,
+        first_asked_at=asked,
         deadline=100.0 + whole,
         route=site.make_route(**route),
     )
@@ -76,7 +76,7 @@
     Cause: the wait was a part of the route's whole time, and callers of
     streams wait two seconds for an event.
     """
-    assert urgency.find_latest_start(call) == pytest.approx(expected)
+    assert call_deadlines.find_latest_start(call) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
 )
 def test_time_of_an_earlier_attempt_counts(asked, expected):
     call = make_call(asked=asked)
-    assert urgency.find_in_time_until(call) == pytest.approx(expected)
+    assert call_deadlines.find_late_after(call) == pytest.approx(expected)
 
 
 @pytest.mark.anyio
@@ -125,7 +125,7 @@
                 tasks.start_soon(ask)
                 if number:
                     await running.until(
-                        lambda number=number: dispatcher.waiting('notes')
+                        lambda number=number: dispatcher.count_waiting('notes')
                         == number
                     )
                 else:
--- a/tests/gateway/test_closed_endpoints.py
+++ b/tests/gateway/test_closed_endpoints.py
@@ -39,8 +39,8 @@
 
 
 def make_demand(seconds):
-    return dispatch.Demand(
-        service='notes', priority=1, until=virtual_time.now() + seconds
+    return dispatch.SlotRequest(
+        service='notes', priority=1, start_by=virtual_time.now() + seconds
     )
 
 
@@ -57,10 +57,10 @@
 ):
     """Guards against waiting for a backoff that outlasts the deadline."""
     made, _ = make_dispatcher(*backoffs)
-    refused = await made.enter(make_demand(seconds))
+    refused = await made.acquire(make_demand(seconds))
     assert virtual_time.now() == 0.0
     assert refused.reason is outcomes.Reason.CANNOT_END_IN_TIME
-    latest = open_time + dispatch.RETRY_JITTER
+    latest = open_time + dispatch.MAX_RETRY_JITTER_SECONDS
     assert open_time <= refused.retry_after <= latest
 
 
@@ -68,7 +68,7 @@
     """Guards against callers that retry together and are refused again."""
     made, _ = make_dispatcher(3.0)
     delays = {
-        (await made.enter(make_demand(1.0))).retry_after for _ in range(8)
+        (await made.acquire(make_demand(1.0))).retry_after for _ in range(8)
     }
     assert len(delays) == 8
 
@@ -76,23 +76,23 @@
 async def test_waiting_request_is_refused_when_its_endpoints_close():
     """Guards against keeping a request that can no longer be served."""
     made, table = make_dispatcher(0.0)
-    place = await made.enter(make_demand(1.0))
+    place = await made.acquire(make_demand(1.0))
     refused = []
 
     async def wait():
-        refused.append(await made.enter(make_demand(2.0)))
+        refused.append(await made.acquire(make_demand(2.0)))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(wait)
         await anyio.sleep(0.5)
         table.find('i-0').note_backoff(seconds=3.0, now=virtual_time.now())
-        made.leave(place)
+        made.release(place)
         await anyio.sleep(0.0)
         await anyio.sleep(0.0)
         assert [one.reason for one in refused] == [
             outcomes.Reason.CANNOT_END_IN_TIME
         ]
-        assert not made.waiting('notes')
+        assert not made.count_waiting('notes')
 
 
 @pytest.mark.parametrize('backoffs', [(0.5,), (3.0, 0.5)])
@@ -102,12 +102,12 @@
 
     async def serve():
         await anyio.sleep(0.6)
-        made.serve_all()
+        made.assign_all_slots()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve)
-        place = await made.enter(make_demand(1.0))
-    assert isinstance(place, dispatch.Place)
+        place = await made.acquire(make_demand(1.0))
+    assert isinstance(place, dispatch.Slot)
 
 
 async def test_request_waits_while_all_endpoints_leave():
@@ -120,9 +120,9 @@
         await anyio.sleep(0.6)
         new = fake.FakeEndpoint(identity='i-1', scripts=[])
         table.put(site.make_record(new))
-        made.serve_all()
+        made.assign_all_slots()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(replace)
-        place = await made.enter(make_demand(1.0))
+        place = await made.acquire(make_demand(1.0))
     assert place.endpoint.identity == 'i-1'
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_concurrency_limits.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from marigoldramp.gateway import concurrency_limits
 from marigoldramp.gateway import deployment
-from marigoldramp.gateway import pacing
 
 SLOTS = 5.0
 ACCEPTED = 0.12
@@ -42,11 +42,11 @@
         self.accepted = accepted
         self.running = 0.0
         self.lengths = []
-        self.pace = pacing.Pace(
+        self.limiter = concurrency_limits.ConcurrencyLimiter(
             clock=lambda: self.now,
             running=lambda: self.running,
             engine=lambda: engine,
-            accepted=lambda: accepted,
+            accepted_pause=lambda: accepted,
         )
 
     def run(self, *, seconds, factor=1.0, wanted=9.0, extra=0.0):
@@ -57,12 +57,14 @@
         """
         until = self.now + seconds
         while self.now < until:
-            self.running = min(wanted, self.pace.limit(SLOTS))
+            self.running = min(wanted, self.limiter.limit(SLOTS))
             length = BASE + A_REQUEST * factor * self.running + extra
             self.now += length
             self.lengths.append(length)
             for _ in range(3):
-                self.pace.note_pause(seconds=length, accepted=self.accepted)
+                self.limiter.note_pause(
+                    seconds=length, accepted_pause=self.accepted
+                )
 
     def run_shifts(self, *, times, rhythm, uneven):
         for _ in range(times):
@@ -71,7 +73,7 @@
 
     @property
     def limit(self):
-        return self.pace.limit(SLOTS)
+        return self.limiter.limit(SLOTS)
 
 
 @pytest.mark.parametrize('uneven', [0.5, 0.9, 1.5])
@@ -94,7 +96,7 @@
     assert max(seen) <= ACCEPTED
     # No more room is left than has to be.
     assert max(seen) >= 0.85 * ACCEPTED
-    assert group.limit >= pacing.LEAST_SHARE * SLOTS
+    assert group.limit >= concurrency_limits.LEAST_SHARE * SLOTS
 
 
 def test_first_shift_finds_room():
@@ -132,7 +134,7 @@
 
 @pytest.mark.parametrize(
     ('seconds', 'engine'),
-    [(0.5, None), (pacing.HORIZON + 1.0, ENGINE)],
+    [(0.5, None), (concurrency_limits.HORIZON + 1.0, ENGINE)],
     ids=['unknown engine', 'even for long'],
 )
 def test_even_group_uses_all_slots(seconds, engine):
@@ -145,7 +147,7 @@
     group = Group()
     group.run_shifts(times=4, rhythm=2.5, uneven=0.9)
     assert group.limit < SLOTS
-    group.run(seconds=pacing.HORIZON + 0.5)
+    group.run(seconds=concurrency_limits.HORIZON + 0.5)
     assert group.limit == SLOTS
 
 
@@ -163,7 +165,7 @@
     Cause: the limit stayed at three fifths of the slots.
     """
     group = Group()
-    group.run(seconds=pacing.HORIZON + 1.0)
+    group.run(seconds=concurrency_limits.HORIZON + 1.0)
     group.run(seconds=6.0, factor=factor, extra=extra)
     group.run(seconds=0.3)
     assert group.limit == SLOTS
@@ -172,10 +174,10 @@
 @pytest.mark.parametrize('length', [0.25, 0.375, 1.5])
 def test_pass_that_stood_says_nothing(length):
     group = Group()
-    group.run(seconds=pacing.HORIZON + 1.0)
+    group.run(seconds=concurrency_limits.HORIZON + 1.0)
     for _ in range(3):
         group.now += length
-        group.pace.note_pause(seconds=length, accepted=ACCEPTED)
+        group.limiter.note_pause(seconds=length, accepted_pause=ACCEPTED)
     assert group.limit == SLOTS
 
 
@@ -194,9 +196,9 @@
 
 def test_one_pass_that_an_entry_saw_late_changes_nothing():
     group = Group()
-    group.run(seconds=pacing.HORIZON + 1.0)
+    group.run(seconds=concurrency_limits.HORIZON + 1.0)
     group.now += 0.13
-    group.pace.note_pause(seconds=0.13, accepted=ACCEPTED)
+    group.limiter.note_pause(seconds=0.13, accepted_pause=ACCEPTED)
     assert group.limit == SLOTS
 
 
@@ -205,8 +207,8 @@
     group.run(seconds=1.0)
     for _ in range(4):
         group.now += 0.14
-        group.pace.note_told(0.14)
-    assert pacing.LEAST_SHARE * SLOTS <= group.limit < SLOTS
+        group.limiter.note_reported(0.14)
+    assert concurrency_limits.LEAST_SHARE * SLOTS <= group.limit < SLOTS
 
 
 def test_route_without_a_bound_of_pauses_changes_nothing():
--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -250,10 +250,14 @@
             await fleet.until_sent(4)
             for _ in range(3):
                 tasks.start_soon(copy)
-            await fleet.until(lambda: entry.dispatcher.waiting('notes') == 3)
+            await fleet.until(
+                lambda: entry.dispatcher.count_waiting('notes') == 3
+            )
             [fingerprint] = {
                 name
-                for name, held in entry.containment._withdrawals._held.items()
+                for name, held in (
+                    entry.containment._cancellations._calls.items()
+                )
                 if len(held) == 3
             }
             entry.containment.suspects.take(
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -29,7 +29,7 @@
     def __init__(self, stands=True):
         self.stands = stands
 
-    async def lasts(self, seconds):
+    async def stays_open(self, seconds):
         return self.stands
 
 
--- a/tests/gateway/test_endpoint_requests.py
+++ b/tests/gateway/test_endpoint_requests.py
@@ -21,7 +21,7 @@
 IDENTITIES = strategies.sampled_from(['i-1', 'i-2'])
 METRICS = metrics.create_local(instance='entry-1')
 CALL = types.SimpleNamespace(
-    facts=types.SimpleNamespace(attempt='a1'), sends=1
+    facts=types.SimpleNamespace(attempt_id='a1'), sends=1
 )
 
 
@@ -107,10 +107,10 @@
             call=CALL,
             endpoint=endpoint,
             facts=codecs.AnswerFacts(
-                attempt='a1',
-                sealed=True,
+                attempt_id='a1',
+                signed=True,
                 not_run=False,
-                encoded=False,
+                has_unrequested_encoding=False,
                 leaving=leaving,
                 retry_after=backoff,
             ),
--- a/tests/gateway/test_endpoint_signals.py
+++ b/tests/gateway/test_endpoint_signals.py
@@ -170,9 +170,11 @@
 
 
 @pytest.mark.parametrize(
-    ('header', 'is_shut'), [('Retry-After: 60\r\n', False), ('', True)]
+    ('header', 'is_tripped'), [('Retry-After: 60\r\n', False), ('', True)]
 )
-async def test_only_declines_without_backoff_shut_the_gate(header, is_shut):
+async def test_only_declines_without_backoff_trip_the_breaker(
+    header, is_tripped
+):
     """Guards against holding requests back while endpoints are free."""
     declining = [
         Fake(identity=f'i-{n}', scripts=[fake.decline(more=NOT_RUN + header)])
@@ -180,7 +182,7 @@
     ]
     config = site.make_configuration(site.FORBIDDEN(timeout=0.5))
     async with site.run_site(*declining, configuration=config) as running:
-        gate = running.gateway.dispatcher.gate('notes')
+        breaker = running.gateway.dispatcher.circuit_breaker('notes')
         await site.call(running, 'POST', body=b'x')
         assert sum(bool(one.seen) for one in declining) >= 3
-        assert gate.is_shut == is_shut
+        assert breaker.is_tripped == is_tripped
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -9,7 +9,7 @@
 from marigoldramp import expert_maps
 from marigoldramp.gateway import demand_monitor
 from marigoldramp.gateway import expert_planner
-from marigoldramp.gateway import passes
+from marigoldramp.gateway import pass_times
 from marigoldramp.gateway import rank_transport
 from marigoldramp.gateway import ranks
 from marigoldramp import layer_moves
@@ -53,7 +53,7 @@
         slots=6,
         find=group.find,
         use=lambda: use,
-        passes=passes.PassTimes(clock=virtual_time.now),
+        passes=pass_times.PassTimes(clock=virtual_time.now),
         slow_ranks=lambda: {} if slow is None else slow,
         clock=virtual_time.now,
         **more,
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -296,7 +296,7 @@
             await one.arrived.wait()
             waiting = running.gateway.dispatcher
             tasks.start_soon(site.call, running)
-            await running.until(lambda: waiting.waiting('notes') == 1)
+            await running.until(lambda: waiting.count_waiting('notes') == 1)
             running.gateway.follower.take_changes(
                 site.listings.Changes(
                     records=(site.make_record(one, leaving=True),),
@@ -406,7 +406,7 @@
     statuses = []
 
     async with site.run_site(*fakes, configuration=config) as running:
-        gate = running.gateway.dispatcher.gate('notes')
+        breaker = running.gateway.dispatcher.circuit_breaker('notes')
 
         async def run(number):
             got = await site.call(
@@ -417,7 +417,7 @@
         async with anyio.create_task_group() as tasks:
             for number in range(8):
                 tasks.start_soon(run, number)
-            await running.until(lambda: gate.is_shut)
+            await running.until(lambda: breaker.is_tripped)
             sends = sum(len(one.seen) for one in fakes)
             await anyio.sleep(0.5)
             assert sum(len(one.seen) for one in fakes) - sends <= 5
--- a/tests/gateway/test_gateway_state.py
+++ b/tests/gateway/test_gateway_state.py
@@ -709,10 +709,10 @@
 
 
 def demand(priority=1, seconds=10.0, avoid=()):
-    return dispatch.Demand(
+    return dispatch.SlotRequest(
         service='notes',
         priority=priority,
-        until=virtual_time.now() + seconds,
+        start_by=virtual_time.now() + seconds,
         avoid=frozenset(avoid),
     )
 
@@ -739,9 +739,9 @@
         note(pace=pace, now=virtual_time.now())
     got = set()
     for _ in range(len(used)):
-        got.add((await made.enter(demand())).endpoint.identity)
+        got.add((await made.acquire(demand())).endpoint.identity)
     assert got == used
-    refused = await made.enter(demand(seconds=0.5))
+    refused = await made.acquire(demand(seconds=0.5))
     assert refused.retry_after > 0.0
 
 
@@ -759,10 +759,10 @@
     order = []
 
     async def run(name, priority):
-        place = await made.enter(demand(priority))
+        place = await made.acquire(demand(priority))
         order.append(name)
         await anyio.sleep(0.1)
-        made.leave(place)
+        made.release(place)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run, 'first', 5)
@@ -781,45 +781,45 @@
     Cause: the place stays counted.
     """
     made, table = make_dispatcher()
-    held = await made.enter(demand())
+    held = await made.acquire(demand())
 
     async def run():
-        place = await made.enter(demand())
+        place = await made.acquire(demand())
         try:
             await anyio.sleep(1.0)
         finally:
-            made.leave(place)
+            made.release(place)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
         await anyio.sleep(0.01)
         if granted:
-            made.leave(held)
+            made.release(held)
         tasks.cancel_scope.cancel()
     if not granted:
-        made.leave(held)
+        made.release(held)
     assert table.find('i-0').own == 0
-    assert made.waiting('notes') == 0
+    assert made.count_waiting('notes') == 0
 
 
 async def test_request_without_a_place_is_refused_in_time():
     made, _ = make_dispatcher()
-    await made.enter(demand())
-    refused = await made.enter(demand(seconds=0.5))
+    await made.acquire(demand())
+    refused = await made.acquire(demand(seconds=0.5))
     assert virtual_time.now() == pytest.approx(0.5, abs=0.01)
     assert refused.retry_after > 0.0
 
 
 async def test_waiting_request_does_not_block_those_behind_it():
     made, table = make_dispatcher(count=2)
-    first = await made.enter(demand())
-    second = await made.enter(demand())
+    first = await made.acquire(demand())
+    second = await made.acquire(demand())
     names = {first.endpoint.identity, second.endpoint.identity}
     assert names == {'i-0', 'i-1'}
     got = []
 
     async def run(avoid):
-        place = await made.enter(demand(avoid=avoid))
+        place = await made.acquire(demand(avoid=avoid))
         got.append(place.endpoint.identity)
 
     async with anyio.create_task_group() as tasks:
@@ -827,7 +827,7 @@
         await anyio.sleep(0.01)
         tasks.start_soon(run, ())
         await anyio.sleep(0.01)
-        made.leave(first)
+        made.release(first)
         await anyio.sleep(0.01)
         assert got == [first.endpoint.identity]
-        made.leave(second)
+        made.release(second)
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -10,7 +10,7 @@
 from marigoldramp.gateway import deployment
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import leader_election
-from marigoldramp.gateway import passes
+from marigoldramp.gateway import pass_times
 from marigoldramp import map_recovery
 from marigoldramp import store
 
@@ -111,7 +111,9 @@
             ),
             is_gone=lambda other: other in self.silent,
             pause_share=lambda service: 0.0,
-            passes=lambda service: passes.PassTimes(clock=virtual_time.now),
+            passes=lambda service: pass_times.PassTimes(
+                clock=virtual_time.now
+            ),
             concurrency_limit=lambda service, slots: slots,
             api=self.group,
             store=StoreOfOne(fleet=self, name=name),
--- a/tests/gateway/test_passes.py
+++ b/tests/gateway/test_pass_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marigoldramp.gateway import passes
+from marigoldramp.gateway import pass_times
 
 
 class Clock:
@@ -23,7 +23,7 @@
         length = usual * draw.choice([1.0] * 7 + [longest])
         clock.now += length
         for _ in range(5):
-            times.note(length)
+            times.note_local(length)
         seen.append(times.are_longer())
     return seen
 
@@ -39,7 +39,7 @@
     """
     draw = random.Random(seed)
     clock = Clock()
-    times = passes.PassTimes(clock=clock)
+    times = pass_times.PassTimes(clock=clock)
     before = play(times, clock, draw, seconds=4.0, usual=0.06, longest=1.5)
     after = play(
         times, clock, draw, seconds=0.6, usual=0.06 * factor, longest=1.5
@@ -47,7 +47,7 @@
     assert sum(before) < 0.2 * len(before)
     assert (sum(after) > 0.3 * len(after)) is (factor > 1.0)
     if factor > 1.0:
-        times.accept()
+        times.reset_baseline()
         assert not times.are_longer()
 
 
@@ -62,14 +62,14 @@
     of an uneven map.
     """
     clock = Clock()
-    times = passes.PassTimes(clock=clock)
+    times = pass_times.PassTimes(clock=clock)
     draw = random.Random(1)
     play(times, clock, draw, seconds=3.0, usual=0.06, longest=1.2)
     uneven_passes = {'usual': 0.105, 'longest': 1.2}
     for _ in range(6):
         seen = play(times, clock, draw, seconds=0.4, **uneven_passes)
         assert any(seen)
-        times.accept()
+        times.reset_baseline()
         play(times, clock, draw, seconds=uneven - 0.4, **uneven_passes)
         left = rhythm - uneven
         play(times, clock, draw, seconds=left, usual=0.06, longest=1.2)
@@ -85,7 +85,7 @@
     """
     clock = Clock()
     running = 1.0
-    times = passes.PassTimes(
+    times = pass_times.PassTimes(
         clock=clock, running=lambda: running, base=lambda: 0.034
     )
     seen = []
@@ -93,18 +93,18 @@
         running += 0.1
         length = 0.034 + 0.014 * running
         clock.now += length
-        times.note(length)
+        times.note_local(length)
         seen.append(times.are_longer())
     assert not any(seen)
 
 
 def test_streams_after_a_silence_are_not_compared_with_those_before():
     clock = Clock()
-    times = passes.PassTimes(clock=clock)
-    times.note(0.05)
+    times = pass_times.PassTimes(clock=clock)
+    times.note_local(0.05)
     clock.now = 4.0
     assert not times.are_longer()
-    times.note(0.2)
+    times.note_local(0.2)
     assert not times.are_longer()
 
 
@@ -115,13 +115,13 @@
     Cause: what was told was taken for what own streams had shown.
     """
     clock = Clock()
-    times = passes.PassTimes(clock=clock)
-    times.note_told(0.4)
-    assert times.own() == 0.0
-    times.note(0.1)
-    assert times.own() == 0.1
+    times = pass_times.PassTimes(clock=clock)
+    times.note_reported(0.4)
+    assert times.last_local() == 0.0
+    times.note_local(0.1)
+    assert times.last_local() == 0.1
     clock.now = 0.3
-    assert times.own() == 0.0
+    assert times.last_local() == 0.0
 
 
 def test_leader_without_streams_notices_longer_passes():
@@ -131,9 +131,9 @@
     Cause: only own streams told how long passes last.
     """
     clock = Clock()
-    times = passes.PassTimes(clock=clock)
+    times = pass_times.PassTimes(clock=clock)
     for length in [0.1] * 30 + [0.2] * 3:
         clock.now += length
         for _ in range(5):
-            times.note_told(length)
+            times.note_reported(length)
     assert times.are_longer()
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -70,7 +70,7 @@
     async with site.run_site(one) as first:
         async with site.run_site(one, instance='entry-2') as second:
             process = first.gateway
-            process.dispatcher.pace('notes').passes.note(0.12)
+            process.dispatcher.limiter('notes').pass_times.note_local(0.12)
             process._reporter.forget()
             report = process._reporter.make(None, 0.1)
             assert report.passes == {'notes': 0.12}
@@ -79,6 +79,6 @@
                 msgspec.structs.replace(report, instance='entry-1'),
                 frozenset(),
             )
-            assert list(other.dispatcher.paced_services()) == ['notes']
+            assert list(other.dispatcher.limited_services()) == ['notes']
             other._reporter.forget()
             assert other._reporter.make(None).passes == {}
