--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -117,7 +117,7 @@
             first_asked_at=deadline
             - self._stated.find_longest(route=route.name, stated=seconds),
             last_event=facts.last_event,
-            fingerprint=fingerprints.find_fingerprint(
+            fingerprint=fingerprints.compute_fingerprint(
                 head=head, customer=_name_holder(config, facts), body=body
             ),
             version=config.version,
--- a/marigoldramp/gateway/attempts.py
+++ b/marigoldramp/gateway/attempts.py
@@ -9,7 +9,7 @@
 
 from .. import asgi
 from .. import tcp_streams
-from . import ages
+from . import boot_clock
 from . import calls
 from . import codecs
 from . import deployment
@@ -167,7 +167,7 @@
         endpoint: endpoints.Endpoint,
         connection: outbound.Connection,
     ) -> Unreached | None:
-        left = call.deadline - ages.read_clock()
+        left = call.deadline - boot_clock.read_clock()
         if left <= 0.0:
             return Unreached(detail='no time is left')
         head = call.exchange.head
@@ -257,7 +257,7 @@
                 if frame.identifier:
                     call.last_event = frame.identifier
             if chunk:
-                pause = call.note_event(now=ages.read_clock())
+                pause = call.note_event(now=boot_clock.read_clock())
                 self._on_events(call, pause if told else 0.0)
                 told = True
                 if not exchange.begun:
--- a/marigoldramp/gateway/containment.py
+++ b/marigoldramp/gateway/containment.py
@@ -28,7 +28,7 @@
     :param instance: our own name.
     :param pool: opens connections to endpoints.
     :param fetch: returns the suspects that a peer knows.
-    :param hasten: has the next reports to peers sent at once.
+    :param send_reports_now: has the next reports to peers sent at once.
     :ivar suspects: what is known, here and elsewhere.
     :ivar exchange: how others learn of it.
     """
@@ -42,7 +42,7 @@
         peers: peers_module.PeerTable,
         pool: outbound.Pool,
         fetch: suspect_exchange.Fetch,
-        hasten: Callable[[], None],
+        send_reports_now: Callable[[], None],
         metrics: metrics_module.Metrics,
         clock: Callable[[], float],
     ) -> None:
@@ -56,8 +56,8 @@
             clock=clock,
         )
         self.suspects = suspects.Suspects(
-            is_trier=lambda fingerprint: instance
-            == suspects.find_trier(
+            is_prober=lambda fingerprint: instance
+            == suspects.choose_prober(
                 fingerprint,
                 [instance, *(peer.instance for peer in peers.live())],
             ),
@@ -68,7 +68,7 @@
             known=self.suspects,
             peers=peers,
             fetch=fetch,
-            hasten=hasten,
+            send_reports_now=send_reports_now,
             clock=clock,
         )
         metrics.gauge(
@@ -83,9 +83,9 @@
         """Serve a call in a scope that ends when it is blocked."""
         return self._cancellations.track(call)
 
-    def judge(self, call: calls.Call) -> suspects.Verdict:
+    def decide(self, call: calls.Call) -> suspects.Decision:
         """Return whether a call may be sent to an endpoint."""
-        return self.suspects.judge(call.fingerprint)
+        return self.suspects.decide(call.fingerprint)
 
     def begin(
         self, call: calls.Call, endpoint: endpoints.Endpoint
@@ -122,7 +122,7 @@
         """Let a request run again as an operator says; whether it was kept."""
         released = self.suspects.release(fingerprint)
         if released:
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
         return released
 
     def note_gone(self, identity: str) -> None:
@@ -137,16 +137,16 @@
         """Act on what has been learnt, once word of others has come."""
         self.suspects.refresh()
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Forget what matters no longer."""
-        self._ends.tidy()
-        self.suspects.tidy()
+        self._ends.prune()
+        self.suspects.prune()
 
     def _note_end(self, end: endpoint_ends.End) -> None:
         self.suspects.note_end(end)
         for fingerprint in end.fingerprints:
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
 
     def _note_answer(self, fingerprint: str) -> None:
         if self.suspects.note_answer(fingerprint):
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
--- a/marigoldramp/gateway/discovery.py
+++ b/marigoldramp/gateway/discovery.py
@@ -28,21 +28,21 @@
 #: until a peer is asked again that could not tell what it knows.
 PEERS_EVERY = 0.2
 #: Seconds until a peer is asked again after a list that was not settled.
-UNSETTLED_EVERY = 0.5
+UNSETTLED_RETRY_SECONDS = 0.5
 
 
 #: Fetches the endpoints from a peer that knows of changes after a revision.
 FromPeers = Callable[[int], Awaitable[listings.Listing | None]]
 
 
-class Follower:
+class EndpointFollower:
     """Keeps the table of endpoints up to date.
 
     :param presence: takes what is learnt of endpoints.
-    :param relies: whether peers follow the store for us and tell us of
-        changes.
-    :param from_peers: returns the endpoints that a peer knows, if it knows of
-        changes after a revision.
+    :param relies_on_peers: whether peers follow the store for us and tell us
+        of changes.
+    :param fetch_from_peers: returns the endpoints that a peer knows, if it
+        knows of changes after a revision.
     :param position: returns our place among the entries that hear each other
         often, 0 for the first.
     :ivar revision: of the newest change that is known.
@@ -70,7 +70,7 @@
         'change_revision',
         'settled_revision',
         '_asked_at',
-        'relies',
+        'relies_on_peers',
         'store',
     )
 
@@ -82,8 +82,8 @@
         clock: Callable[[], float],
         presence: presence_module.Presence,
         on_change: Callable[[], None],
-        relies: Callable[[], bool] = lambda: False,
-        from_peers: FromPeers | None = None,
+        relies_on_peers: Callable[[], bool] = lambda: False,
+        fetch_from_peers: FromPeers | None = None,
         position: Callable[[], int] = lambda: 0,
     ) -> None:
         self._source = source
@@ -91,8 +91,8 @@
         self._clock = clock
         self.presence = presence
         self._on_change = on_change
-        self.relies = relies
-        self._from_peers = from_peers
+        self.relies_on_peers = relies_on_peers
+        self._from_peers = fetch_from_peers
         self._position = position
         self._heard = 0
         self._wake = anyio.Event()
@@ -117,13 +117,13 @@
                 match found:
                     case listings.Listing():
                         self._note_answer()
-                        self.take_listing(found)
+                        self.apply_listing(found)
                         await self._follow()
                     case store.Unavailable(detail=detail):
                         self._note_failure(detail)
                         await self._pause()
 
-    def hear(self, *, change_revision: int) -> None:
+    def note_peer_revision(self, *, change_revision: int) -> None:
         """Learn how far a peer knows of changes.
 
         Our own watch may have gone silent, seen as a leaving endpoint that
@@ -152,11 +152,11 @@
 
     def note_restore(self) -> None:
         """The store has come back from an older copy; list it anew."""
-        self.presence.note_disturbance()
+        self.presence.note_store_outage()
         if self._watching is not None:
             self._watching.cancel()
 
-    def take_peer_listing(self, listing: listings.Listing) -> None:
+    def apply_peer_listing(self, listing: listings.Listing) -> None:
         """Take what a peer knows, while the store does not answer us.
 
         Leavings are taken and endpoints added; one that is missing is removed
@@ -168,7 +168,7 @@
         if listing.newest <= known and self.listed:
             return
         for record in listing.records:
-            if not self.presence.has_vanished(record.identity):
+            if not self.presence.is_unlisted(record.identity):
                 self.presence.put_listed(record)
         logging.info(
             'endpoints told',
@@ -187,7 +187,7 @@
         self.listed = True
         self._on_change()
 
-    def take_listing(self, listing: listings.Listing) -> None:
+    def apply_listing(self, listing: listings.Listing) -> None:
         """Take a whole list; what is missing in it has vanished."""
         for record in listing.records:
             self.presence.put_listed(record)
@@ -205,12 +205,12 @@
         )
         self._on_change()
 
-    def take_changes(self, changes: listings.Changes) -> None:
+    def apply_changes(self, changes: listings.Changes) -> None:
         """Take what a watch has shown."""
         for record in changes.records:
             self.presence.put_written(record)
         for identity in changes.removed:
-            self.presence.vanish(identity)
+            self.presence.note_unlisted(identity)
         self.revision = max(self.revision, changes.revision)
         if changes.records or changes.removed:
             logging.info(
@@ -227,7 +227,7 @@
             self._on_change()
         self._behind_since = float('inf')
 
-    def listing(self) -> listings.Listing:
+    def make_listing(self) -> listings.Listing:
         """Return what is known, for a peer."""
         return listings.Listing(
             records=tuple(endpoint.record for endpoint in self._table),
@@ -246,14 +246,14 @@
             return False
         return self.settled_revision >= self.change_revision
 
-    def told_settled(self) -> int:
+    def reported_settled_revision(self) -> int:
         """Return up to which change our list is settled, 0 if it is not."""
         return self.settled_revision if self._is_settled() else 0
 
     async def _follow(self) -> None:
         """Watch until the history is gone or the store is lost."""
         while True:
-            if self.relies():
+            if self.relies_on_peers():
                 await self._follow_peers()
             asked_after = self.revision
             found: (
@@ -272,7 +272,7 @@
                     continue
                 case listings.Changes():
                     self._note_answer()
-                    self.take_changes(found)
+                    self.apply_changes(found)
                     if found.records or found.removed:
                         await anyio.sleep(BATCH_SECONDS)
                 case listings.HistoryGone():
@@ -289,12 +289,12 @@
     async def _follow_peers(self) -> None:
         """Learn of changes from peers while they follow the store for us."""
         assert self._from_peers is not None
-        while self.relies():
+        while self.relies_on_peers():
             if self._is_peer_due():
                 self._asked_at = self._clock()
                 found = await self._from_peers(self.settled_revision)
                 if found is not None:
-                    self.take_peer_listing(found)
+                    self.apply_peer_listing(found)
             self._wake = anyio.Event()
             with anyio.move_on_after(PEERS_EVERY):
                 await self._wake.wait()
@@ -310,18 +310,18 @@
             return True
         if self.settled_revision >= self.change_revision:
             return False
-        return self._clock() - self._asked_at >= UNSETTLED_EVERY
+        return self._clock() - self._asked_at >= UNSETTLED_RETRY_SECONDS
 
     async def _look_after(self) -> None:
         """Remove vanished endpoints that have not come back."""
         while True:
             await anyio.sleep(LOOK_EVERY)
             if self.store.reached:
-                self.presence.settle()
+                self.presence.remove_lapsed()
 
     def _note_answer(self) -> None:
         if self.store.note_answer():
-            self.presence.note_disturbance()
+            self.presence.note_store_outage()
 
     async def _pause(self) -> None:
         """Wait after the store has not answered."""
@@ -333,4 +333,4 @@
 
     def _note_failure(self, detail: str) -> None:
         self.store.note_failure(detail)
-        self.presence.note_disturbance()
+        self.presence.note_store_outage()
--- a/marigoldramp/gateway/dispatch.py
+++ b/marigoldramp/gateway/dispatch.py
@@ -143,7 +143,7 @@
 
     def _find_running(self, service: str) -> float:
         """Return how many requests an endpoint runs on average."""
-        known = self._table.of_usual_pace(service, now=self._clock())
+        known = self._table.list_without_slow_ranks(service, now=self._clock())
         return sum(one.in_flight for one in known) / max(1, len(known))
 
     def limited_services(self) -> list[str]:
@@ -177,7 +177,7 @@
                 return Slot(
                     endpoint=endpoint, waited=0.0, suspect=demand.suspect
                 )
-        if not self._table.of_service(demand.service):
+        if not self._table.list_for_service(demand.service):
             return self._refuse(demand, 'no endpoint of the service is known')
         if self._find_open_time(demand.service) > demand.start_by:
             return self._refuse(demand, 'no endpoint takes requests in time')
@@ -185,7 +185,7 @@
 
     def release(self, place: Slot) -> None:
         """Give a place back."""
-        place.endpoint.leave(suspect=place.suspect)
+        place.endpoint.remove_request(suspect=place.suspect)
         self.assign_slots(place.endpoint.record.service)
 
     def assign_slots(self, service: str) -> None:
@@ -247,7 +247,7 @@
         if waiter.endpoint is None:
             queue.remove(waiter)
             return
-        waiter.endpoint.leave(suspect=waiter.demand.suspect)
+        waiter.endpoint.remove_request(suspect=waiter.demand.suspect)
         self.assign_slots(waiter.demand.service)
 
     def _take(self, demand: SlotRequest) -> endpoints.Endpoint | None:
@@ -265,7 +265,7 @@
             suspect=demand.suspect,
         )
         if endpoint is not None:
-            endpoint.enter(suspect=demand.suspect)
+            endpoint.add_request(suspect=demand.suspect)
             breaker.note_trial()
         return endpoint
 
@@ -273,12 +273,12 @@
         self, service: str, limiter: concurrency_limits.ConcurrencyLimiter
     ) -> bool:
         """Whether all endpoints together run as many as they should."""
-        known = self._table.of_usual_pace(service, now=self._clock())
+        known = self._table.list_without_slow_ranks(service, now=self._clock())
         room = sum(limiter.limit(self._slots(one)) for one in known)
         return sum(one.in_flight for one in known) >= room
 
     def _refuse(self, demand: SlotRequest, detail: str) -> outcomes.NotRun:
-        known = self._table.of_service(demand.service)
+        known = self._table.list_for_service(demand.service)
         now = self._clock()
         logging.info(
             'no place',
@@ -307,7 +307,7 @@
         Returns 0 if all known endpoints are leaving, as a replacement may
         register at any time.
         """
-        known = self._table.of_service(service)
+        known = self._table.list_for_service(service)
         open_time = min((one.opens_at for one in known), default=0.0)
         return open_time if math.isfinite(open_time) else 0.0
 
@@ -317,7 +317,7 @@
         if delay > 0.0:
             # Jitter keeps callers from retrying together and failing again.
             return delay + self._random.uniform(0.0, MAX_RETRY_JITTER_SECONDS)
-        known = self._table.of_service(service)
+        known = self._table.list_for_service(service)
         slots = sum(self._slots(one) for one in known)
         times = [one.seconds for one in known if one.seconds]
         if not slots or not times:
--- a/marigoldramp/gateway/endpoint_ends.py
+++ b/marigoldramp/gateway/endpoint_ends.py
@@ -204,7 +204,7 @@
             if not trace.ended:
                 self._end(start, trace, 'restarted', KEPT_SECONDS)
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Forget what can tell nothing any more."""
         oldest = self._clock() - KEPT_SECONDS
         for start, trace in list(self._traces.items()):
--- a/marigoldramp/gateway/endpoints.py
+++ b/marigoldramp/gateway/endpoints.py
@@ -44,10 +44,10 @@
 class Endpoint:
     """One endpoint.
 
-    :ivar own: requests of this entry that run on it.
+    :ivar own_requests: requests of this entry that run on it.
     :ivar suspects: how many of them are of each fingerprint under which an
         endpoint has ended.
-    :ivar elsewhere: requests that other entries say run on it.
+    :ivar peer_requests: requests that other entries say run on it.
     :ivar resting_until: it is given no requests before then.
     :ivar backoff_until: end of the backoff that it requested; it is given no
         requests before then.
@@ -58,9 +58,9 @@
 
     __slots__ = (
         'record',
-        'own',
+        'own_requests',
         'suspects',
-        'elsewhere',
+        'peer_requests',
         'resting_until',
         'backoff_until',
         'failures',
@@ -71,9 +71,9 @@
 
     def __init__(self, *, record: deployment.EndpointRecord) -> None:
         self.record = record
-        self.own = 0
+        self.own_requests = 0
         self.suspects: collections.Counter[str] = collections.Counter()
-        self.elsewhere = 0
+        self.peer_requests = 0
         self.resting_until = 0.0
         self.backoff_until = 0.0
         self.failures = 0
@@ -94,17 +94,17 @@
     @property
     def in_flight(self) -> int:
         """Requests of all entries that run on it, as far as known."""
-        return self.own + self.elsewhere
+        return self.own_requests + self.peer_requests
 
-    def enter(self, *, suspect: str) -> None:
+    def add_request(self, *, suspect: str) -> None:
         """Give it a request, with its fingerprint if that is a suspect."""
-        self.own += 1
+        self.own_requests += 1
         if suspect:
             self.suspects[suspect] += 1
 
-    def leave(self, *, suspect: str) -> None:
+    def remove_request(self, *, suspect: str) -> None:
         """Note that it no longer has a request that it was given."""
-        self.own -= 1
+        self.own_requests -= 1
         if suspect:
             self.suspects[suspect] -= 1
             self.suspects += collections.Counter()
@@ -177,7 +177,7 @@
         """Return an endpoint by its name."""
         return self._by_identity.get(identity)
 
-    def of_service(self, service: str) -> list[Endpoint]:
+    def list_for_service(self, service: str) -> list[Endpoint]:
         """Return the endpoints of a service."""
         return list(self._by_service.get(service, {}).values())
 
@@ -245,8 +245,8 @@
         :param suspect: fingerprint of a request under which an endpoint has
             ended, see :func:`_choose_apart`.
         """
-        usual = self.usual_seconds(service)
-        known = self.of_usual_pace(service, now=now)
+        usual = self.find_median_seconds(service)
+        known = self.list_without_slow_ranks(service, now=now)
         if avoid.issuperset(one.identity for one in known):
             # Waiting for another endpoint would last until the deadline.
             avoid = frozenset()
@@ -278,18 +278,20 @@
             return list(found)
         return self._random.sample(found, MOST_COMPARED)
 
-    def of_usual_pace(self, service: str, *, now: float) -> list[Endpoint]:
+    def list_without_slow_ranks(
+        self, service: str, *, now: float
+    ) -> list[Endpoint]:
         """Return the endpoints of a service that do not slow its group.
 
         A request on a slow rank makes the passes of all requests longer.
         Where half of the ranks are slow the others could not carry all, so
         all are returned.
         """
-        known = self.of_service(service)
+        known = self.list_for_service(service)
         usual = [one for one in known if not one.quality.is_slow_rank(now=now)]
         return usual if 2 * len(usual) > len(known) else known
 
-    def usual_seconds(self, service: str) -> float:
+    def find_median_seconds(self, service: str) -> float:
         """Return what endpoints of a service take to answer, 0 if unknown."""
         known = [
             one.quality.seconds
@@ -311,7 +313,7 @@
         :param remote: penalty of an endpoint in another data centre.
         """
         penalty = 0.0 if self._is_near(endpoint) else remote
-        penalty += ERROR_PENALTY * endpoint.quality.errors(now=now)
+        penalty += ERROR_PENALTY * endpoint.quality.error_rate(now=now)
         penalty += self._random.random() * 0.1
         slowness = endpoint.quality.slowness(usual=usual, now=now)
         return (1.0 + endpoint.in_flight + penalty) * slowness / room
--- a/marigoldramp/gateway/fingerprints.py
+++ b/marigoldramp/gateway/fingerprints.py
@@ -14,7 +14,9 @@
 DIGEST_BYTES = 8
 
 
-def find_fingerprint(*, head: inbound.Head, customer: str, body: bytes) -> str:
+def compute_fingerprint(
+    *, head: inbound.Head, customer: str, body: bytes
+) -> str:
     """Return what requests of the same caller and content share.
 
     The customer stands in it by name: a key is a secret, and fingerprints are
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -109,8 +109,8 @@
             with anyio.move_on_after(call.deadline - self._clock()):
                 return await self._try(call)
             return await self._expire(call)
-        verdict = self._containment.judge(call)
-        return await self._end(call, _refuse_blocked(verdict))
+        decision = self._containment.decide(call)
+        return await self._end(call, _refuse_blocked(decision))
 
     async def _try(self, call: calls.Call) -> str:
         unreached = 0
@@ -149,10 +149,10 @@
     async def _find_place(self, call: calls.Call) -> dispatch.Slot | NotRun:
         """Wait for a place, unless the call is blocked or becomes so."""
         while True:
-            verdict = self._containment.judge(call)
-            match verdict:
+            decision = self._containment.decide(call)
+            match decision:
                 case suspects.Blocked():
-                    return _refuse_blocked(verdict)
+                    return _refuse_blocked(decision)
                 case suspects.Undecided(seconds=seconds):
                     await anyio.sleep(seconds)
                     continue
@@ -164,7 +164,7 @@
                     late_after=call_deadlines.find_late_after(call),
                     avoid=call.excluded_endpoints,
                     repeated=call.sends > 0,
-                    suspect=_name_suspect(call, verdict),
+                    suspect=_name_suspect(call, decision),
                 )
             )
             if isinstance(found, NotRun) or self._may_go(call):
@@ -173,7 +173,7 @@
 
     def _may_go(self, call: calls.Call) -> bool:
         """Whether a call may still be sent once it has a place."""
-        match self._containment.judge(call):
+        match self._containment.decide(call):
             case suspects.Blocked() | suspects.Undecided():
                 return False
         return True
@@ -184,9 +184,9 @@
         Copies that several entries send at once go to the same endpoint.
         Whoever finds its port closed would else end the next one.
         """
-        match self._containment.judge(call):
+        match self._containment.decide(call):
             case suspects.Suspected():
-                await anyio.sleep(suspects.WORD_SECONDS)
+                await anyio.sleep(suspects.PEER_REPORT_SECONDS)
 
     async def _step_apart(self, broken: attempts.Broken) -> None:
         """Wait for a moment that differs for each request.
@@ -422,21 +422,21 @@
     return round(seconds, 4) if math.isfinite(seconds) else -1.0
 
 
-def _name_suspect(call: calls.Call, verdict: suspects.Verdict) -> str:
+def _name_suspect(call: calls.Call, decision: suspects.Decision) -> str:
     """Return by what a call is kept apart from others, empty for nothing."""
-    match verdict:
+    match decision:
         case suspects.Suspected():
             return call.fingerprint
     return ''
 
 
-def _refuse_blocked(verdict: suspects.Verdict) -> NotRun:
+def _refuse_blocked(decision: suspects.Decision) -> NotRun:
     """Refuse a call whose like has ended endpoints.
 
     It may have been cleared since it was taken back.
     """
     retry_after = LEAST_RETRY_AFTER
-    match verdict:
+    match decision:
         case suspects.Blocked(seconds=seconds):
             retry_after = max(retry_after, seconds)
     return NotRun(
--- a/marigoldramp/gateway/group_members.py
+++ b/marigoldramp/gateway/group_members.py
@@ -63,7 +63,7 @@
         While endpoints start one after the other, asking all of them at each
         change were half of the questions that a large group gets in a day.
         """
-        known = self._drop_replaced(self._table.of_service(service))
+        known = self._drop_replaced(self._table.list_for_service(service))
         names = {one.identity for one in known}
         members = self._members.setdefault(service, {})
         gone = set(members) - names
--- a/marigoldramp/gateway/inbound.py
+++ b/marigoldramp/gateway/inbound.py
@@ -18,7 +18,7 @@
 
 from .. import logs
 from .. import tcp_streams
-from . import ages
+from . import boot_clock
 from . import codecs
 from . import deployment
 
@@ -41,7 +41,7 @@
 
     :ivar target: path and query as sent.
     :ivar headers: names in lower case, without those of one connection.
-    :ivar arrived: when it was whole, by :func:`.ages.read_clock`.
+    :ivar arrived: when it was whole, by :func:`.boot_clock.read_clock`.
     """
 
     method: bytes
@@ -235,7 +235,7 @@
 
         :param longer_than: seconds for which it must have been so.
         """
-        if ages.read_clock() - self._idle_since > longer_than:
+        if boot_clock.read_clock() - self._idle_since > longer_than:
             self._stream.finish()
 
     async def _serve_one(self) -> bool:
@@ -278,7 +278,7 @@
         limits = self._limits()
         event = self._h11.next_event()
         if event is h11.NEED_DATA and not self._h11.trailing_data[0]:
-            self._idle_since = ages.read_clock()
+            self._idle_since = boot_clock.read_clock()
             try:
                 data = await self._stream.read(
                     READ_BYTES, timeout=limits.idle_seconds
@@ -351,7 +351,7 @@
         target=event.target,
         host=host.decode('latin-1'),
         headers=headers,
-        arrived=ages.read_clock(),
+        arrived=boot_clock.read_clock(),
     )
 
 
--- a/marigoldramp/gateway/outbound.py
+++ b/marigoldramp/gateway/outbound.py
@@ -15,7 +15,7 @@
 
 from .. import asgi
 from .. import tcp_streams
-from . import ages
+from . import boot_clock
 from . import codecs
 
 READ_BYTES = 65536
@@ -218,7 +218,7 @@
         :param longest: seconds that it may have been idle.
         """
         idle = self._idle.get(identity)
-        now = ages.read_clock()
+        now = boot_clock.read_clock()
         while idle:
             connection = idle.pop()
             if connection.is_usable(now=now):
@@ -255,7 +255,7 @@
         """Keep a connection whose answer has ended, if it is sound."""
         idle = self._idle.setdefault(identity, collections.deque())
         if len(idle) < self._max_idle and connection.renew(
-            now=ages.read_clock()
+            now=boot_clock.read_clock()
         ):
             idle.append(connection)
         else:
@@ -268,7 +268,7 @@
 
     def drop_expired(self) -> None:
         """Close idle connections that are no longer to be relied on."""
-        now = ages.read_clock()
+        now = boot_clock.read_clock()
         for idle in self._idle.values():
             kept = [one for one in idle if one.is_usable(now=now)]
             for connection in idle:
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -60,7 +60,7 @@
         self,
         *,
         configuration: configurations.ActiveConfiguration,
-        follower: discovery.Follower,
+        follower: discovery.EndpointFollower,
         describe: Callable[[], status_module.Status],
         list_suspects: Callable[[], suspect_exchange.SuspectList],
         release: Callable[[str], bool],
@@ -79,7 +79,7 @@
         if path == CONFIGURATION_PATH and self._configuration.document:
             body = self._configuration.document
         elif path == ENDPOINTS_PATH and self._follower.listed:
-            listing = self._follower.listing()
+            listing = self._follower.make_listing()
             body = msgspec.json.encode(
                 EndpointList(
                     newest=listing.newest,
--- a/marigoldramp/gateway/peer_reports.py
+++ b/marigoldramp/gateway/peer_reports.py
@@ -87,7 +87,7 @@
     period: float = 0.0
     passes: dict[str, float] = {}
     settled: int = 0
-    suspect_news: suspects.SuspectNews = suspects.SuspectNews()
+    suspect_news: suspects.SuspectUpdate = suspects.SuspectUpdate()
     era: int = 0
 
 
--- a/marigoldramp/gateway/peers.py
+++ b/marigoldramp/gateway/peers.py
@@ -64,7 +64,7 @@
 
     :param instance: our own name.
     :param data_centre: our own.
-    :param clock: see :func:`.ages.read_clock`.
+    :param clock: see :func:`.boot_clock.read_clock`.
     """
 
     __slots__ = (
--- a/marigoldramp/gateway/periodic_tasks.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -39,7 +39,7 @@
     peers: peers.PeerTable
     pool: outbound.Pool
     dispatcher: dispatch.Dispatcher
-    follower: discovery.Follower
+    follower: discovery.EndpointFollower
     refresher: refresh.Refresher
     peer_source: peer_exchange.PeerSource
     containment: containment_module.Containment
@@ -96,9 +96,11 @@
         while True:
             await anyio.sleep(HOUSEKEEPING_EVERY)
             parts.pool.drop_expired()
-            parts.containment.tidy()
+            parts.containment.prune()
             for endpoint in parts.table:
-                endpoint.elsewhere = parts.peers.in_flight(endpoint.identity)
+                endpoint.peer_requests = parts.peers.in_flight(
+                    endpoint.identity
+                )
 
     async def _ask_peers_for_endpoints(self) -> None:
         """Learn of endpoints from a peer while the store is away for us."""
@@ -107,14 +109,14 @@
             await anyio.sleep(ASK_PEERS_EVERY)
             failed_at = self._parts.refresher.store.failed_at
             if self._clock() - failed_at < DISTURBED_SECONDS:
-                follower.presence.note_disturbance()
+                follower.presence.note_store_outage()
             if follower.store.reached:
                 continue
             found = await self._parts.peer_source.fetch_endpoints(
                 newer_than=follower.settled_revision
             )
             if found is not None:
-                follower.take_peer_listing(found)
+                follower.apply_peer_listing(found)
 
     async def _keep_settings(self) -> None:
         """Take changes of the settings that come without a signal."""
--- a/marigoldramp/gateway/presence.py
+++ b/marigoldramp/gateway/presence.py
@@ -22,7 +22,7 @@
 from . import endpoints
 
 #: Seconds for which a vanished endpoint is kept after the store's return.
-KEEP_VANISHED = 2.2
+KEEP_UNLISTED_SECONDS = 2.2
 #: Seconds for which the shutdown report of an endpoint is kept; must exceed
 #: the duration of a shutdown.
 KEEP_LEAVING_REPORTS = 600.0
@@ -74,13 +74,13 @@
         """Whether what is missing in the table is gone."""
         return self._clock() >= self._disturbed_until and not self._vanished
 
-    def note_disturbance(self) -> None:
+    def note_store_outage(self) -> None:
         """The store does not answer somebody; entries may lapse."""
         self._disturbed_until = max(
-            self._disturbed_until, self._clock() + KEEP_VANISHED
+            self._disturbed_until, self._clock() + KEEP_UNLISTED_SECONDS
         )
 
-    def has_vanished(self, identity: str) -> bool:
+    def is_unlisted(self, identity: str) -> bool:
         """Whether an endpoint is kept that is listed no longer."""
         return identity in self._vanished
 
@@ -180,9 +180,9 @@
         listed = {record.identity for record in records}
         for endpoint in self._table:
             if endpoint.identity not in listed:
-                self.vanish(endpoint.identity)
+                self.note_unlisted(endpoint.identity)
 
-    def vanish(self, identity: str) -> None:
+    def note_unlisted(self, identity: str) -> None:
         """Take an endpoint as listed no longer."""
         self._departures.forget(identity)
         now = self._clock()
@@ -200,7 +200,7 @@
             logging.info('endpoint gone', extra=logs.fields(endpoint=identity))
             self._on_gone(identity)
 
-    def settle(self) -> None:
+    def remove_lapsed(self) -> None:
         """Remove what has not come back, and take what is in doubt no more."""
         for record in self._departures.take_clear():
             self._put(record)
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -12,8 +12,8 @@
 from .. import tcp_streams
 from . import adapter as adapter_module
 from . import admission
-from . import ages
 from . import attempts
+from . import boot_clock
 from . import calls
 from . import configurations
 from . import containment
@@ -41,7 +41,7 @@
 from . import settings as settings_module
 from . import status
 from . import stopping
-from . import suspect_keeper
+from . import suspect_storage
 
 #: Descriptors that are left for everything but callers.
 SPARE_DESCRIPTORS = 600
@@ -65,7 +65,7 @@
         metrics: metrics_module.Metrics,
     ) -> None:
         random = random_module.Random(secrets.randbits(64))
-        clock = ages.read_clock
+        clock = boot_clock.read_clock
         self.leaving = False
         self.call_port = 0
         self.peer_port = 0
@@ -115,11 +115,11 @@
             peers=self.peers,
             pool=self.pool,
             fetch=peer_exchange.fetch_suspects,
-            hasten=self._tell_peers,
+            send_reports_now=self._tell_peers,
             metrics=metrics,
             clock=clock,
         )
-        self._keeper = suspect_keeper.SuspectKeeper(
+        self._suspect_storage = suspect_storage.SuspectStorage(
             known=self.containment.suspects,
             store=adapter.store,
             position=self._place_among_peers,
@@ -149,7 +149,7 @@
             metrics=metrics,
             on_wrong_endpoint=self.pool_drop,
         )
-        self.follower = discovery.Follower(
+        self.follower = discovery.EndpointFollower(
             source=adapter.endpoints,
             table=self.table,
             clock=clock,
@@ -161,10 +161,10 @@
                 restored_at=adapter.store.restored_at,
             ),
             on_change=self._note_endpoints,
-            relies=lambda: self.peers.read_store_for_us(
+            relies_on_peers=lambda: self.peers.read_store_for_us(
                 strength=self.settings.strength
             ),
-            from_peers=self._fetch_endpoints,
+            fetch_from_peers=self._fetch_endpoints,
             position=self._place_among_peers,
         )
         self.refresher = refresh.Refresher(
@@ -359,7 +359,7 @@
         tasks.start_soon(self._registry.run)
         tasks.start_soon(self.elector.run)
         tasks.start_soon(self.containment.exchange.run)
-        tasks.start_soon(self._keeper.run)
+        tasks.start_soon(self._suspect_storage.run)
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
         settings = self.settings
@@ -484,7 +484,7 @@
     def _note_endpoints(self) -> None:
         """Act on a change of the endpoints that are known."""
         self.dispatcher.assign_all_slots()
-        if not self.follower.relies():
+        if not self.follower.relies_on_peers():
             # Peers that do not ask the store learn of it from us.
             self._tell_peers()
 
@@ -506,7 +506,7 @@
         """Act on a store that has come back from an older copy."""
         self.follower.note_restore()
         self._registry.note_restore()
-        self._keeper.note_restore()
+        self._suspect_storage.note_restore()
 
     def begin_stop(self) -> None:
         """Begin a planned stop; a second request changes nothing."""
--- a/marigoldramp/gateway/quality.py
+++ b/marigoldramp/gateway/quality.py
@@ -13,7 +13,7 @@
 LEAST_SECONDS = 0.005
 #: Times longer than usual from which on an endpoint counts as slow; below it
 #: requests of unlike size tell nothing.
-SLOW_FROM = 1.8
+MIN_SLOW_RATIO = 1.8
 #: Times slower for which an endpoint counts at peers that fails everything,
 #: by our own outcomes; one failure among successes makes it 2.5 times.
 FAILING_WEIGHT = 6.0
@@ -24,7 +24,7 @@
 PACE_SECONDS = 3.0
 #: Pace from which on a rank counts as slow.  All ranks of a group make each
 #: pass together, so a slow one makes the group as slow as itself.
-SLOW_PACE = 1.15
+MIN_SLOW_PACE = 1.15
 
 
 class Quality:
@@ -70,25 +70,25 @@
 
     def note_success(self, *, now: float) -> None:
         """Learn of a good answer whose time tells nothing."""
-        self._errors = self.errors(now=now) * (1.0 - SMOOTHING)
-        self._breaks = self.breaks(now=now) * (1.0 - SMOOTHING)
+        self._errors = self.error_rate(now=now) * (1.0 - SMOOTHING)
+        self._breaks = self.break_rate(now=now) * (1.0 - SMOOTHING)
         self._broke_at = now
         self._at = now
 
     def note_error(self, *, now: float) -> None:
         """Learn of a failure."""
-        errors = self.errors(now=now)
+        errors = self.error_rate(now=now)
         self._errors = errors + SMOOTHING * (1.0 - errors)
         self._at = now
 
     def note_break(self, *, now: float) -> None:
         """Learn of a request to which there was no whole answer."""
         self.note_error(now=now)
-        breaks = self.breaks(now=now)
+        breaks = self.break_rate(now=now)
         self._breaks = breaks + SMOOTHING * (1.0 - breaks)
         self._broke_at = now
 
-    def note_told(self, *, slowness: float, now: float) -> None:
+    def note_peer_slowness(self, *, slowness: float, now: float) -> None:
         """Learn how slow a peer finds the endpoint."""
         self._told = slowness
         self._told_at = now
@@ -98,12 +98,12 @@
         self._pace = pace
         self._pace_at = now
 
-    def note_told_pace(self, *, pace: float, now: float) -> None:
+    def note_peer_pace(self, *, pace: float, now: float) -> None:
         """Learn from a peer what pace the endpoint reports."""
         self._told_pace = pace
         self._told_pace_at = now
 
-    def own_pace(self, *, now: float) -> float:
+    def reported_pace(self, *, now: float) -> float:
         """Return the pace that it has reported to us, 1 for usual."""
         return self._pace if now - self._pace_at <= PACE_SECONDS else 1.0
 
@@ -111,13 +111,13 @@
         """Whether it makes its group slow, by its own report."""
         told = now - self._told_pace_at <= PACE_SECONDS
         pace = self._told_pace if told else 1.0
-        return max(pace, self.own_pace(now=now)) >= SLOW_PACE
+        return max(pace, self.reported_pace(now=now)) >= MIN_SLOW_PACE
 
-    def errors(self, *, now: float) -> float:
+    def error_rate(self, *, now: float) -> float:
         """Return the part of its requests that it fails, 0 to 1."""
         return self._errors * _fade(now - self._at)
 
-    def breaks(self, *, now: float) -> float:
+    def break_rate(self, *, now: float) -> float:
         """Return the part of its requests that got no whole answer.
 
         Answers that tell of a failure do not count: some requests fail on
@@ -125,7 +125,7 @@
         """
         return self._breaks * _fade(now - self._broke_at)
 
-    def own_slowness(self, *, usual: float, now: float) -> float:
+    def measured_slowness(self, *, usual: float, now: float) -> float:
         """Return how many times longer than usual it takes, 1 for usual.
 
         :param usual: what endpoints of the service usually take.
@@ -133,24 +133,24 @@
         if not self.seconds or not usual:
             return 1.0
         ratio = self.seconds / max(LEAST_SECONDS, usual)
-        if ratio < SLOW_FROM:
+        if ratio < MIN_SLOW_RATIO:
             return 1.0
         over = min(MOST_SLOWNESS, ratio) - 1.0
         return 1.0 + over * _fade(now - self._at)
 
-    def own_trouble(self, *, usual: float, now: float) -> float:
+    def slowness_for_peers(self, *, usual: float, now: float) -> float:
         """Return how many times worse than usual it does, to tell peers.
 
         Without failures in it each entry has to lose a request of its own to
         an endpoint that fails some, and many of them cannot be repeated.
         """
-        failing = 1.0 + FAILING_WEIGHT * self.breaks(now=now)
-        return failing * self.own_slowness(usual=usual, now=now)
+        failing = 1.0 + FAILING_WEIGHT * self.break_rate(now=now)
+        return failing * self.measured_slowness(usual=usual, now=now)
 
     def slowness(self, *, usual: float, now: float) -> float:
         """Return its slowness by our own outcomes or by peers' word."""
         told = 1.0 + (self._told - 1.0) * _fade(now - self._told_at)
-        return max(self.own_slowness(usual=usual, now=now), told)
+        return max(self.measured_slowness(usual=usual, now=now), told)
 
 
 def _fade(age: float) -> float:
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -155,7 +155,7 @@
         return {
             report.rank: report.pace
             for report in reports
-            if report is not None and report.pace >= quality.SLOW_PACE
+            if report is not None and report.pace >= quality.MIN_SLOW_PACE
         }
 
     def _locate(self, name: str, link: _Link) -> endpoints.Endpoint | None:
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -32,7 +32,7 @@
 
     active_configuration: configurations.ActiveConfiguration
     refresher: refresh.Refresher
-    follower: discovery.Follower
+    follower: discovery.EndpointFollower
     table: endpoints.EndpointTable
     peers: peers.PeerTable
     dispatcher: dispatch.Dispatcher
@@ -113,9 +113,11 @@
         :param touched: endpoints whose requests in flight may have changed.
         """
         self._parts.store.hear_era(report.era)
-        self._parts.containment.exchange.hear(report)
+        self._parts.containment.exchange.handle_report(report)
         self._parts.refresher.hear(report.version)
-        self._parts.follower.hear(change_revision=report.revision)
+        self._parts.follower.note_peer_revision(
+            change_revision=report.revision
+        )
         self._take_confirmation(report)
         self._take_slow(report)
         for service, seconds in report.passes.items():
@@ -123,7 +125,7 @@
         for identity in touched:
             endpoint = self._parts.table.find(identity)
             if endpoint is not None:
-                endpoint.elsewhere = self._parts.peers.in_flight(identity)
+                endpoint.peer_requests = self._parts.peers.in_flight(identity)
         self._parts.dispatcher.assign_all_slots()
 
     def _describe(self, now: float) -> peer_reports.Report:
@@ -147,11 +149,11 @@
             version_age=_age(now, parts.active_configuration.confirmed_at),
             revision=parts.follower.change_revision,
             revision_age=_age(now, parts.follower.store.reached_at),
-            settled=parts.follower.told_settled(),
+            settled=parts.follower.reported_settled_revision(),
             in_flight={
-                endpoint.identity: endpoint.own
+                endpoint.identity: endpoint.own_requests
                 for endpoint in parts.table
-                if endpoint.own
+                if endpoint.own_requests
             },
             slow=self._list_slow(now),
             paces=self._list_paces(now),
@@ -160,7 +162,7 @@
             strength=settings.strength,
             data_centre=settings.data_centre,
             passes=self._list_passes(),
-            suspect_news=parts.containment.exchange.tell(),
+            suspect_news=parts.containment.exchange.make_update(),
             era=parts.store.era(),
             known=self._name_peers(now),
         )
@@ -190,14 +192,14 @@
         for identity, slowness in report.slow.items():
             endpoint = self._parts.table.find(identity)
             if endpoint is not None:
-                endpoint.quality.note_told(
+                endpoint.quality.note_peer_slowness(
                     slowness=slowness, now=self._clock()
                 )
 
         for identity, pace in report.paces.items():
             endpoint = self._parts.table.find(identity)
             if endpoint is not None:
-                endpoint.quality.note_told_pace(pace=pace, now=self._clock())
+                endpoint.quality.note_peer_pace(pace=pace, now=self._clock())
 
     def _list_passes(self) -> dict[str, float]:
         """Return the last passes that our streams have shown."""
@@ -215,24 +217,24 @@
     def _list_paces(self, now: float) -> dict[str, float]:
         """Return the slow ranks that have told us so."""
         paces = {
-            one.identity: one.quality.own_pace(now=now)
+            one.identity: one.quality.reported_pace(now=now)
             for one in self._parts.table
         }
         return {
             identity: round(pace, 2)
             for identity, pace in paces.items()
-            if pace >= quality.SLOW_PACE
+            if pace >= quality.MIN_SLOW_PACE
         }
 
     def _list_slow(self, now: float) -> dict[str, float]:
         """Return the endpoints that we find slow or failing ourselves."""
         table = self._parts.table
         usual = {
-            service: table.usual_seconds(service)
+            service: table.find_median_seconds(service)
             for service in {one.record.service for one in table}
         }
         found = {
-            one.identity: one.quality.own_trouble(
+            one.identity: one.quality.slowness_for_peers(
                 usual=usual[one.record.service], now=now
             )
             for one in table
@@ -240,7 +242,7 @@
         return {
             identity: round(slowness, 2)
             for identity, slowness in found.items()
-            if slowness > quality.SLOW_FROM
+            if slowness > quality.MIN_SLOW_RATIO
         }
 
 
--- a/marigoldramp/gateway/status.py
+++ b/marigoldramp/gateway/status.py
@@ -149,7 +149,7 @@
             version=parts.active_configuration.version,
             version_age=_age(now, parts.active_configuration.confirmed_at),
             store_age=_age(now, parts.follower.store.reached_at),
-            relies=parts.follower.relies(),
+            relies=parts.follower.relies_on_peers(),
             leads=parts.elector.led_groups(),
             queues=tuple(self._describe_queue(name) for name in services),
             endpoints=tuple(self._describe_endpoint(one) for one in known),
@@ -181,7 +181,7 @@
 
     def _describe_endpoint(self, one: endpoints.Endpoint) -> EndpointStatus:
         now = self._clock()
-        usual = self._parts.table.usual_seconds(one.record.service)
+        usual = self._parts.table.find_median_seconds(one.record.service)
         state = 'open' if one.is_open(now=now) else 'resting'
         return EndpointStatus(
             identity=one.identity,
@@ -189,9 +189,9 @@
             data_centre=one.record.data_centre,
             address=f'{one.record.host}:{one.record.port}',
             state='leaving' if one.record.leaving else state,
-            own=one.own,
-            elsewhere=one.elsewhere,
-            errors=round(one.quality.errors(now=now), 3),
+            own=one.own_requests,
+            elsewhere=one.peer_requests,
+            errors=round(one.quality.error_rate(now=now), 3),
             slowness=round(one.quality.slowness(usual=usual, now=now), 2),
         )
 
--- a/marigoldramp/gateway/suspect_exchange.py
+++ b/marigoldramp/gateway/suspect_exchange.py
@@ -23,7 +23,7 @@
 #: Seconds for which reports tell of what was learnt.
 TOLD_SECONDS = 3.0
 #: Suspects that one report tells of: as many as fit beside all else.
-MOST_TOLD = 6
+MAX_REPORTED_SUSPECTS = 6
 #: Seconds for which a peer must have known something else before it is asked:
 #: what was learnt just now is on its way.
 DIFFERS_SECONDS = 0.5
@@ -36,7 +36,7 @@
 class SuspectList(msgspec.Struct, frozen=True, kw_only=True):
     """All suspects that an entry knows."""
 
-    suspicions: tuple[suspects.Suspicion, ...]
+    suspicions: tuple[suspects.SuspectRecord, ...]
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -54,14 +54,14 @@
     """Tells peers of suspects, and takes their word.
 
     :param fetch: returns all that a peer knows.
-    :param hasten: has the next reports sent at once.
+    :param send_reports_now: has the next reports sent at once.
     """
 
     __slots__ = (
         '_known',
         '_peers',
         '_fetch',
-        '_hasten',
+        '_send_reports_now',
         '_clock',
         '_learnt',
         '_differs_since',
@@ -73,43 +73,46 @@
         known: suspects.Suspects,
         peers: peers.PeerTable,
         fetch: Fetch,
-        hasten: Callable[[], None],
+        send_reports_now: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
         self._known = known
         self._peers = peers
         self._fetch = fetch
-        self._hasten = hasten
+        self._send_reports_now = send_reports_now
         self._clock = clock
         self._learnt: collections.deque[_Learnt] = collections.deque()
         self._differs_since: dict[str, float] = {}
 
-    def note(self, fingerprint: str) -> None:
+    def note_change(self, fingerprint: str) -> None:
         """Note that this entry has learnt of a request itself."""
         self._keep(fingerprint)
-        self._hasten()
+        self._send_reports_now()
 
     def _keep(self, fingerprint: str) -> None:
         """Tell of a request in the reports of the next seconds."""
         self._learnt.append(_Learnt(fingerprint=fingerprint, at=self._clock()))
 
-    def tell(self) -> suspects.SuspectNews:
+    def make_update(self) -> suspects.SuspectUpdate:
         """Return what the next report says."""
         oldest = self._clock() - TOLD_SECONDS
         while self._learnt and self._learnt[0].at < oldest:
             self._learnt.popleft()
         named = dict.fromkeys(one.fingerprint for one in self._learnt)
-        found = [self._known.describe(one) for one in list(named)[-MOST_TOLD:]]
-        return suspects.SuspectNews(
+        found = [
+            self._known.describe(one)
+            for one in list(named)[-MAX_REPORTED_SUSPECTS:]
+        ]
+        return suspects.SuspectUpdate(
             digest=self._known.digest(),
             suspicions=tuple(one for one in found if one is not None),
         )
 
-    def hear(self, report: peer_reports.Report) -> None:
+    def handle_report(self, report: peer_reports.Report) -> None:
         """Take what a report says."""
         news = report.suspect_news
         for suspicion in news.suspicions:
-            if self._known.take(suspicion, source=report.instance):
+            if self._known.merge(suspicion, source=report.instance):
                 # Many entries may know of an answer; their next reports do.
                 self._keep(suspicion.fingerprint)
         own = self._known.digest()
@@ -155,7 +158,7 @@
             ),
         )
         for suspicion in found.suspicions:
-            self._known.take(suspicion, source=peer.instance)
+            self._known.merge(suspicion, source=peer.instance)
         own = self._known.digest()
         for other in self._peers.live():
             report = other.report
--- a/marigoldramp/gateway/suspect_keeper.py
+++ b/marigoldramp/gateway/suspect_storage.py
@@ -37,7 +37,7 @@
     starts: tuple[int, ...]
 
 
-class SuspectKeeper:
+class SuspectStorage:
     """Reads blocked requests from the store and writes them.
 
     :param position: returns our place among the entries that hear each other,
@@ -135,8 +135,8 @@
                 ),
             )
             return
-        self._known.take(
-            suspects.Suspicion(
+        self._known.merge(
+            suspects.SuspectRecord(
                 fingerprint=stored.key.name,
                 ends=tuple(
                     suspects.EndAge(start=start, age=0.0)
--- a/marigoldramp/gateway/suspects.py
+++ b/marigoldramp/gateway/suspects.py
@@ -30,7 +30,7 @@
 SOUND_SECONDS = 600.0
 MOST_SOUND = 4096
 #: Seconds after an end within which others have told what they had there.
-WORD_SECONDS = 0.1
+PEER_REPORT_SECONDS = 0.1
 #: Seconds for which a request is blocked at first, twice as long after each
 #: further end, and at most: what mends such a request is a release of the
 #: endpoints' software.
@@ -53,14 +53,15 @@
 
     Counted are ends since its last answer.
 
-    :ivar alone: where nothing else explains them; one can end by chance.
+    :ivar unshared: where nothing else explains them; one can end by chance.
     :ivar shared: where another request has been under all of them.
-    :ivar sound: where it was answered not long before the first of them.
+    :ivar recently_answered: where it was answered not long before the first of
+        them.
     """
 
-    alone: int = 2
+    unshared: int = 2
     shared: int = 3
-    sound: int = 4
+    recently_answered: int = 4
 
 
 class EndAge(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -70,7 +71,9 @@
     age: float
 
 
-class Suspicion(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class SuspectRecord(
+    msgspec.Struct, frozen=True, array_like=True, kw_only=True
+):
     """What an entry knows of a suspect, as it tells others.
 
     :ivar answered_age: seconds since an endpoint has answered it, negative
@@ -85,7 +88,9 @@
     released_age: float = -1.0
 
 
-class Digest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class SuspectDigest(
+    msgspec.Struct, frozen=True, array_like=True, kw_only=True
+):
     """What an entry knows of requests that may have to be blocked, in short.
 
     :ivar known: how many there are.
@@ -96,19 +101,21 @@
     check: int = 0
 
 
-class SuspectNews(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class SuspectUpdate(
+    msgspec.Struct, frozen=True, array_like=True, kw_only=True
+):
     """What one report says of suspects.
 
     :ivar digest: of all that its sender knows.
     :ivar suspicions: what it has learnt lately.
     """
 
-    digest: Digest = Digest()
-    suspicions: tuple[Suspicion, ...] = ()
+    digest: SuspectDigest = SuspectDigest()
+    suspicions: tuple[SuspectRecord, ...] = ()
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Free:
+class Allowed:
     """Nothing speaks against a request."""
 
 
@@ -139,7 +146,7 @@
     seconds: float
 
 
-Verdict = Free | Suspected | Undecided | Blocked
+Decision = Allowed | Suspected | Undecided | Blocked
 
 
 class _Suspect:
@@ -196,7 +203,7 @@
     the latest.  So it does not matter in which order word of it comes, or how
     often.
 
-    :param is_trier: whether this is the entry that may try a request once
+    :param is_prober: whether this is the entry that may try a request once
         more when its block is over.
     :param on_block: called with the fingerprint of a request that is blocked
         from now on.
@@ -217,41 +224,41 @@
     def __init__(
         self,
         *,
-        is_trier: Callable[[str], bool],
+        is_prober: Callable[[str], bool],
         on_block: Callable[[str], None],
         clock: Callable[[], float],
         thresholds: Thresholds = Thresholds(),
     ) -> None:
         self._thresholds = thresholds
-        self._is_trier = is_trier
+        self._is_trier = is_prober
         self._on_block = on_block
         self._clock = clock
         self._suspects: dict[str, _Suspect] = {}
         self._trials: set[str] = set()
         self._blocked: set[str] = set()
-        self._digest: Digest | None = None
+        self._digest: SuspectDigest | None = None
         self._answered: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._suspects)
 
-    def judge(self, fingerprint: str) -> Verdict:
+    def decide(self, fingerprint: str) -> Decision:
         """Return whether a request may run."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            return Free()
+            return Allowed()
         ends = suspect.count()
         if not ends:
-            return Free()
-        if ends < self._thresholds.alone:
+            return Allowed()
+        if ends < self._thresholds.unshared:
             return Suspected()
         age = self._clock() - suspect.last()
         self.refresh()
         if fingerprint not in self._blocked:
-            if age < WORD_SECONDS:
-                return Undecided(seconds=WORD_SECONDS - age)
+            if age < PEER_REPORT_SECONDS:
+                return Undecided(seconds=PEER_REPORT_SECONDS - age)
             return Suspected()
-        left = suspect.block_seconds(self._thresholds.alone) - age
+        left = suspect.block_seconds(self._thresholds.unshared) - age
         if left > 0.0:
             return Blocked(ends=ends, seconds=left)
         if self._may_try(fingerprint):
@@ -266,7 +273,7 @@
             for fingerprint, suspect in self._suspects.items()
             if (
                 fingerprint in self._blocked
-                or suspect.last() + WORD_SECONDS <= now
+                or suspect.last() + PEER_REPORT_SECONDS <= now
             )
             and self._is_cause(suspect)
         }
@@ -279,7 +286,7 @@
                 extra=logs.fields(
                     fingerprint=fingerprint,
                     ends=suspect.count(),
-                    seconds=suspect.block_seconds(self._thresholds.alone),
+                    seconds=suspect.block_seconds(self._thresholds.unshared),
                 ),
             )
             self._on_block(fingerprint)
@@ -287,10 +294,10 @@
     def _is_cause(self, suspect: _Suspect) -> bool:
         """Whether endpoints end by a request and not beside it."""
         starts = suspect.counted()
-        if len(starts) < self._thresholds.alone:
+        if len(starts) < self._thresholds.unshared:
             return False
         if suspect.was_sound():
-            return len(starts) >= self._thresholds.sound
+            return len(starts) >= self._thresholds.recently_answered
         if len(starts) >= self._thresholds.shared:
             return True
         return not any(
@@ -371,7 +378,7 @@
             extra=logs.fields(fingerprint=fingerprint, source=source),
         )
 
-    def take(self, suspicion: Suspicion, *, source: str) -> bool:
+    def merge(self, suspicion: SuspectRecord, *, source: str) -> bool:
         """Learn what another entry knows.
 
         Word that was long on its way makes an end look younger than it is, so
@@ -409,24 +416,24 @@
         answered_at = self._answered.get(fingerprint, float('-inf'))
         suspect.answered_at = max(suspect.answered_at, answered_at)
 
-    def digest(self) -> Digest:
+    def digest(self) -> SuspectDigest:
         """Return in short what is known.
 
         Requests with fewer ends than block any are left out: an endpoint that
         ends by chance has many of them, and they change all the time.
         """
         if self._digest is None:
-            self._digest = _digest(self._suspects, self._thresholds.alone)
+            self._digest = _digest(self._suspects, self._thresholds.unshared)
         return self._digest
 
-    def list_all(self) -> tuple[Suspicion, ...]:
+    def list_all(self) -> tuple[SuspectRecord, ...]:
         """Return all that is known."""
         return tuple(
             self._describe(fingerprint, suspect)
             for fingerprint, suspect in self._suspects.items()
         )
 
-    def describe(self, fingerprint: str) -> Suspicion | None:
+    def describe(self, fingerprint: str) -> SuspectRecord | None:
         """Return what is known of a request, if there is anything."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -437,25 +444,25 @@
         """Return the requests that are sent nowhere."""
         found = {}
         for fingerprint in self._blocked & self._suspects.keys():
-            verdict = self.judge(fingerprint)
-            if isinstance(verdict, Blocked):
-                found[fingerprint] = verdict
+            decision = self.decide(fingerprint)
+            if isinstance(decision, Blocked):
+                found[fingerprint] = decision
         return found
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Forget what has not been heard of for long enough."""
         now = self._clock()
         for fingerprint, suspect in list(self._suspects.items()):
             kept = KEPT_SECONDS + 2.0 * suspect.block_seconds(
-                self._thresholds.alone
+                self._thresholds.unshared
             )
             if now - suspect.last() > kept:
                 del self._suspects[fingerprint]
                 self._digest = None
 
-    def _describe(self, fingerprint: str, suspect: _Suspect) -> Suspicion:
+    def _describe(self, fingerprint: str, suspect: _Suspect) -> SuspectRecord:
         now = self._clock()
-        return Suspicion(
+        return SuspectRecord(
             fingerprint=fingerprint,
             ends=tuple(
                 EndAge(start=start, age=round(now - at, 3))
@@ -488,7 +495,7 @@
     return now - age if age >= 0.0 else float('-inf')
 
 
-def _digest(known: dict[str, _Suspect], least: int) -> Digest:
+def _digest(known: dict[str, _Suspect], least: int) -> SuspectDigest:
     count = 0
     check = 0
     for fingerprint, suspect in known.items():
@@ -497,10 +504,10 @@
             count += 1
             text = ' '.join(map(str, [fingerprint, *starts]))
             check ^= zlib.crc32(text.encode())
-    return Digest(known=count, check=check)
+    return SuspectDigest(known=count, check=check)
 
 
-def find_trier(fingerprint: str, instances: Iterable[str]) -> str:
+def choose_prober(fingerprint: str, instances: Iterable[str]) -> str:
     """Return the one of some entries that may try a blocked request.
 
     All entries that know the same ones find the same.
--- a/marigoldramp/platform/objects.py
+++ b/marigoldramp/platform/objects.py
@@ -14,7 +14,7 @@
 from .. import store
 from .. import tcp_streams
 from . import eras
-from ..gateway import ages
+from ..gateway import boot_clock
 from ..gateway import settings
 
 PATH = '/marigoldramp/objects'
@@ -147,7 +147,7 @@
             kept=0,
             options=tcp_streams.probe_options(SILENT_SECONDS),
         )
-        self._eras = eras.Eras(clock=ages.read_clock)
+        self._eras = eras.Eras(clock=boot_clock.read_clock)
 
     def era(self) -> int:
         return self._eras.current
--- a/marigoldramp/store.py
+++ b/marigoldramp/store.py
@@ -166,7 +166,7 @@
         """Learn from another process how often it was restored."""
 
     def restored_at(self) -> float:
-        """Return when we last heard that it was, by the ages' clock."""
+        """Return when we last heard that it was, by the boot-time clock."""
         return float('-inf')
 
     def on_restore(self, callback: Callable[[], None]) -> None:
--- a/marigoldramp_measure/blocking.py
+++ b/marigoldramp_measure/blocking.py
@@ -48,7 +48,9 @@
 
 
 def _alike(ends: int) -> suspects.Thresholds:
-    return suspects.Thresholds(alone=ends, shared=ends, sound=ends)
+    return suspects.Thresholds(
+        unshared=ends, shared=ends, recently_answered=ends
+    )
 
 
 WAYS = (
@@ -204,7 +206,7 @@
         self._broken_until = 0.0
         self._entries = [
             suspects.Suspects(
-                is_trier=lambda fingerprint: False,
+                is_prober=lambda fingerprint: False,
                 on_block=lambda fingerprint: None,
                 clock=virtual.clock,
                 thresholds=way.thresholds,
@@ -267,11 +269,11 @@
             if isinstance(endpoint, str):
                 return endpoint
             running = self._running[endpoint.identity]
-            endpoint.enter(suspect=name)
+            endpoint.add_request(suspect=name)
             try:
                 answered = await self._run(name, running)
             finally:
-                endpoint.leave(suspect=name)
+                endpoint.remove_request(suspect=name)
             if answered:
                 if known.note_answer(name):
                     self._tell(known, name)
@@ -286,7 +288,7 @@
         self, name: str, known: suspects.Suspects, until: float
     ) -> endpoints.Endpoint | str:
         while virtual.clock() < until:
-            match known.judge(name):
+            match known.decide(name):
                 case suspects.Blocked():
                     return 'blocked'
                 case suspects.Undecided(seconds=seconds):
@@ -294,7 +296,7 @@
                     continue
                 case suspects.Suspected():
                     kept_apart = name if self._way.apart else ''
-                case suspects.Free():
+                case suspects.Allowed():
                     kept_apart = ''
             if virtual.clock() >= self._broken_until:
                 endpoint = self._table.choose(
@@ -386,11 +388,11 @@
             self._tasks.start_soon(self._deliver, known, told)
 
     async def _deliver(
-        self, known: suspects.Suspects, told: suspects.Suspicion
+        self, known: suspects.Suspects, told: suspects.SuspectRecord
     ) -> None:
         await anyio.sleep(REPORT_SECONDS)
         for other in self._entries:
-            if other is not known and other.take(told, source='peer'):
+            if other is not known and other.merge(told, source='peer'):
                 self._tell(other, told.fingerprint)
 
 
@@ -401,7 +403,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     known = suspects.Suspects(
-        is_trier=lambda fingerprint: False,
+        is_prober=lambda fingerprint: False,
         on_block=lambda fingerprint: None,
         clock=time.monotonic,
     )
@@ -429,11 +431,11 @@
 def _time_judging(known: suspects.Suspects) -> float:
     begun = time.process_time()
     for _ in range(JUDGED):
-        known.judge('unknown')
+        known.decide('unknown')
     return (time.process_time() - begun) / JUDGED * 1e6
 
 
-def _tell(known: suspects.Suspects) -> suspects.SuspectNews:
+def _tell(known: suspects.Suspects) -> suspects.SuspectUpdate:
     """Return what a report says while all are news, as far as it can."""
-    told = known.list_all()[-suspect_exchange.MOST_TOLD :]
-    return suspects.SuspectNews(digest=known.digest(), suspicions=told)
+    told = known.list_all()[-suspect_exchange.MAX_REPORTED_SUSPECTS :]
+    return suspects.SuspectUpdate(digest=known.digest(), suspicions=told)
--- a/marigoldramp_measure/decisions.py
+++ b/marigoldramp_measure/decisions.py
@@ -90,7 +90,7 @@
         )
         endpoint = table.find(f'rank-{number}')
         assert endpoint is not None
-        endpoint.elsewhere = number % 5
+        endpoint.peer_requests = number % 5
     return table
 
 
--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from marigoldramp.gateway import suspect_keeper
+from marigoldramp.gateway import suspect_storage
 from marigoldramp.gateway import suspects
 
 from . import fake_endpoint as fake
@@ -54,7 +54,7 @@
     given to it.
     """
     async with fleets.run_fleet(monkeypatch) as fleet:
-        while len(fleet.ends) < suspects.Thresholds().alone:
+        while len(fleet.ends) < suspects.Thresholds().unshared:
             got = await fleet.call('entry-0', KINDS[kind], CONTENT)
             assert got.status in (0, 200, 502)
             await fleet.revive()
@@ -212,7 +212,7 @@
         await fleet.revive()
         await fleet.until(
             lambda: any(
-                key.kind == suspect_keeper.KIND for key in fleet.store.objects
+                key.kind == suspect_storage.KIND for key in fleet.store.objects
             )
         )
         for entry in ENTRIES:
@@ -260,8 +260,8 @@
                 )
                 if len(held) == 3
             }
-            entry.containment.suspects.take(
-                suspects.Suspicion(
+            entry.containment.suspects.merge(
+                suspects.SuspectRecord(
                     fingerprint=fingerprint,
                     ends=(
                         suspects.EndAge(start=1, age=0.0),
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -232,5 +232,5 @@
     one.watch.finish(answered)
     await one.watch.lose(lost)
     await anyio.sleep(endpoint_ends.KEPT_SECONDS + 0.1)
-    one.watch.tidy()
+    one.watch.prune()
     assert one.watch._traces == {}
--- a/tests/gateway/test_endpoint_requests.py
+++ b/tests/gateway/test_endpoint_requests.py
@@ -74,18 +74,18 @@
     @stateful.rule(identity=IDENTITIES)
     def lapse(self, identity):
         """Remove an endpoint's entry from the store."""
-        self.presence.vanish(identity)
+        self.presence.note_unlisted(identity)
 
     @stateful.rule()
     def disturb_store(self):
         """Report that the store did not answer a request."""
-        self.presence.note_disturbance()
+        self.presence.note_store_outage()
 
     @stateful.rule(seconds=strategies.floats(0.01, 3.0))
     def wait(self, seconds):
         """Advance the clock and remove endpoints whose entries lapsed."""
         self.now += seconds
-        self.presence.settle()
+        self.presence.remove_lapsed()
 
     @stateful.rule(
         identity=IDENTITIES,
--- a/tests/gateway/test_endpoint_signals.py
+++ b/tests/gateway/test_endpoint_signals.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from marigoldramp.gateway import ages
+from marigoldramp.gateway import boot_clock
 
 from . import fake_endpoint as fake
 from . import site
@@ -34,7 +34,7 @@
 def clock(monkeypatch):
     """Replace the gateway clock with one that the test can advance."""
     gateway_clock = Clock()
-    monkeypatch.setattr(ages, 'read_clock', gateway_clock.read)
+    monkeypatch.setattr(boot_clock, 'read_clock', gateway_clock.read)
     return gateway_clock
 
 
@@ -49,7 +49,7 @@
         while not declining.seen:
             await site.call(running, attempt='a7')
         endpoint = running.gateway.table.find('i-1')
-        left = endpoint.backoff_until - ages.read_clock()
+        left = endpoint.backoff_until - boot_clock.read_clock()
     assert 0.0 < left <= 2.5
     fields = lines('endpoint asked for backoff')[0]
     assert fields == {'request': 'a7', 'endpoint': 'i-1', 'seconds': 2.5}
@@ -111,7 +111,7 @@
 
 def lapse_and_relist(presence, record):
     """Remove the endpoint's entry and write it again."""
-    presence.vanish(record.identity)
+    presence.note_unlisted(record.identity)
     presence.put_written(record)
 
 
--- a/tests/gateway/test_fingerprints.py
+++ b/tests/gateway/test_fingerprints.py
@@ -21,7 +21,7 @@
         headers=[(b'attempt-id', attempt), (b'time-budget-ms', attempt)],
         arrived=0.0,
     )
-    return fingerprints.find_fingerprint(
+    return fingerprints.compute_fingerprint(
         head=head, customer=customer, body=body
     )
 
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -202,7 +202,7 @@
             await one.closed.wait()
         forwarder = running.gateway.forwarder
         await running.until(lambda: forwarder.running == 0)
-        assert running.gateway.table.find('i-1').own == 0
+        assert running.gateway.table.find('i-1').own_requests == 0
 
 
 def resume(seen):
@@ -297,7 +297,7 @@
             waiting = running.gateway.dispatcher
             tasks.start_soon(site.call, running)
             await running.until(lambda: waiting.count_waiting('notes') == 1)
-            running.gateway.follower.take_changes(
+            running.gateway.follower.apply_changes(
                 site.listings.Changes(
                     records=(site.make_record(one, leaving=True),),
                     removed=(),
--- a/tests/gateway/test_gateway_state.py
+++ b/tests/gateway/test_gateway_state.py
@@ -484,7 +484,7 @@
 def make_follower(clock=None, source=None):
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
     gone = []
-    follower = discovery.Follower(
+    follower = discovery.EndpointFollower(
         source=source or site.FakeEndpoints(),
         table=table,
         clock=clock or virtual_time.now,
@@ -513,12 +513,12 @@
     """
     follower, table, _ = make_follower(Clock())
     record = site.make_record(Fake('i-1'))
-    follower.take_listing(listing(record))
-    follower.take_listing(
+    follower.apply_listing(listing(record))
+    follower.apply_listing(
         listing(site.make_record(Fake('i-1'), leaving=True), revision=2)
     )
-    follower.take_peer_listing(listing(record, revision=3))
-    follower.take_listing(listing(record, revision=4))
+    follower.apply_peer_listing(listing(record, revision=3))
+    follower.apply_listing(listing(record, revision=4))
     assert table.find('i-1').record.leaving
     assert not table.find('i-1').is_open(now=0.0)
 
@@ -534,30 +534,30 @@
     follower, table, gone = make_follower(Clock())
     old = site.make_record(Fake('i-1'), leaving=True, born=1000)
     new = site.make_record(Fake('i-1'), born=2000)
-    follower.take_listing(listing(old))
+    follower.apply_listing(listing(old))
     table.find('i-1').note_failure(now=0.0)
     match heard_by:
         case 'list':
-            follower.take_listing(listing(new, revision=2))
+            follower.apply_listing(listing(new, revision=2))
         case 'watch':
-            follower.take_changes(
+            follower.apply_changes(
                 listings.Changes(records=(new,), removed=(), revision=2)
             )
         case 'peer':
-            follower.take_peer_listing(listing(new, revision=2))
+            follower.apply_peer_listing(listing(new, revision=2))
     assert gone == ['i-1']
     assert table.find('i-1').is_open(now=0.0)
     assert table.find('i-1').failures == 0
     # A list that lags does not bring the old start back.
-    follower.take_listing(listing(old, revision=3))
+    follower.apply_listing(listing(old, revision=3))
     assert table.find('i-1').is_open(now=0.0)
     assert gone == ['i-1']
 
 
 def test_vanished_endpoint_is_gone_at_once_when_the_store_is_well():
     follower, table, gone = make_follower(Clock())
-    follower.take_listing(listing(site.make_record(Fake('i-1'))))
-    follower.take_changes(
+    follower.apply_listing(listing(site.make_record(Fake('i-1'))))
+    follower.apply_changes(
         listings.Changes(records=(), removed=('i-1',), revision=2)
     )
     assert table.find('i-1') is None
@@ -619,7 +619,7 @@
             )
         ]
         for _ in range(8):
-            follower.hear(change_revision=9)
+            follower.note_peer_revision(change_revision=9)
             await anyio.sleep(0.1)
         tasks.cancel_scope.cancel()
     assert table.find('i-1').record.leaving
@@ -638,7 +638,7 @@
     follower, _, _ = make_follower(source=source)
     other, _, _ = make_follower(source=site.FakeEndpoints())
     for each, revision in ((follower, 7), (other, 12)):
-        each.take_changes(
+        each.apply_changes(
             listings.Changes(
                 records=(record,), removed=(), revision=revision, newest=6
             )
@@ -649,16 +649,16 @@
         await anyio.sleep(0.5)
         watching = follower._watching
         for _ in range(20):
-            follower.hear(change_revision=other.change_revision)
+            follower.note_peer_revision(change_revision=other.change_revision)
             await anyio.sleep(0.1)
         assert follower._watching is watching
         for _ in range(40):
-            follower.hear(change_revision=99)
+            follower.note_peer_revision(change_revision=99)
             await anyio.sleep(0.1)
         again = follower._watching
         assert again is not watching
         for _ in range(40):
-            follower.hear(change_revision=99)
+            follower.note_peer_revision(change_revision=99)
             await anyio.sleep(0.1)
         assert follower._watching is again
         tasks.cancel_scope.cancel()
@@ -735,7 +735,7 @@
     made, table = make_dispatcher(count=3)
     for identity, pace in paces.items():
         quality = table.find(identity).quality
-        note = quality.note_told_pace if told else quality.note_pace
+        note = quality.note_peer_pace if told else quality.note_pace
         note(pace=pace, now=virtual_time.now())
     got = set()
     for _ in range(len(used)):
@@ -798,7 +798,7 @@
         tasks.cancel_scope.cancel()
     if not granted:
         made.release(held)
-    assert table.find('i-0').own == 0
+    assert table.find('i-0').own_requests == 0
     assert made.count_waiting('notes') == 0
 
 
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -357,14 +357,14 @@
         self.table = endpoints.EndpointTable(
             data_centre='one', random=random.Random(1)
         )
-        self.follower = discovery.Follower(
+        self.follower = discovery.EndpointFollower(
             source=self.source,
             table=self.table,
             clock=virtual_time.now,
             presence=make_presence(self.table),
             on_change=lambda: None,
-            relies=lambda: self.relies,
-            from_peers=self.fetch,
+            relies_on_peers=lambda: self.relies,
+            fetch_from_peers=self.fetch,
         )
 
     async def fetch(self, newer_than):
@@ -375,7 +375,7 @@
         self.listing = listings.Listing(
             records=records, revision=newest, newest=newest, settled=settled
         )
-        self.follower.hear(change_revision=newest)
+        self.follower.note_peer_revision(change_revision=newest)
 
 
 @pytest.mark.parametrize('settled', [True, False])
@@ -419,7 +419,7 @@
         await anyio.sleep(settles_after)
         kept = site_of_one.table.find('i-1')
         site_of_one.tell(other, settled=True, newest=9)
-        await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
+        await anyio.sleep(discovery.UNSETTLED_RETRY_SECONDS + 0.3)
         gone = site_of_one.table.find('i-1')
         asked = len(site_of_one.asked)
         await anyio.sleep(3.0)
@@ -427,7 +427,9 @@
     assert kept is not None
     assert gone is None
     assert asked == len(site_of_one.asked)
-    assert asked <= 2 + (settles_after + 0.5) / discovery.UNSETTLED_EVERY
+    assert (
+        asked <= 2 + (settles_after + 0.5) / discovery.UNSETTLED_RETRY_SECONDS
+    )
 
 
 async def test_list_from_an_unsettled_one_is_not_told_as_settled():
@@ -443,14 +445,14 @@
     told = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(site_of_one.follower.run)
-        await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        told.append(site_of_one.follower.listing().settled)
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
+        told.append(site_of_one.follower.make_listing().settled)
         site_of_one.tell(other, settled=False, newest=9)
         await anyio.sleep(0.3)
-        told.append(site_of_one.follower.listing().settled)
+        told.append(site_of_one.follower.make_listing().settled)
         site_of_one.tell(other, settled=True, newest=9)
-        await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
-        told.append(site_of_one.follower.listing().settled)
+        await anyio.sleep(discovery.UNSETTLED_RETRY_SECONDS + 0.3)
+        told.append(site_of_one.follower.make_listing().settled)
         tasks.cancel_scope.cancel()
     assert told == [True, False, True]
 
@@ -490,10 +492,10 @@
     site_of_one = Relying()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(site_of_one.follower.run)
-        await anyio.sleep(presence.KEEP_VANISHED + 1.0)
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
         site_of_one.tell(site_of_one.record, settled=settles, newest=9)
         await anyio.sleep(0.3)
-        seen = site_of_one.follower.told_settled()
+        seen = site_of_one.follower.reported_settled_revision()
         tasks.cancel_scope.cancel()
     assert seen == told
 
@@ -510,9 +512,9 @@
     follower = site_of_one.follower
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.run)
-        await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        follower.presence.note_disturbance()
-        follower.take_changes(
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
+        follower.presence.note_store_outage()
+        follower.apply_changes(
             listings.Changes(
                 records=(), removed=('i-1',), revision=9, newest=9
             )
@@ -520,7 +522,7 @@
         seen = []
         for _ in range(60):
             await anyio.sleep(0.05)
-            listing = follower.listing()
+            listing = follower.make_listing()
             seen.append((listing.settled, bool(listing.records)))
         tasks.cancel_scope.cancel()
     assert (True, True) not in seen
@@ -551,7 +553,7 @@
 
     source.list_all = list_all
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
-    follower = discovery.Follower(
+    follower = discovery.EndpointFollower(
         source=source,
         table=table,
         clock=virtual_time.now,
@@ -697,7 +699,7 @@
     table = make_endpoints()
     for endpoint in table:
         if endpoint.record.data_centre == 'one':
-            endpoint.elsewhere = in_use
+            endpoint.peer_requests = in_use
     near = [choose(table).record.data_centre == 'one' for _ in range(40)]
     assert sum(near) >= 36 if is_near else sum(near) <= 4
 
@@ -706,5 +708,5 @@
     table = make_endpoints(near=2, each=2)
     for endpoint in table:
         if endpoint.record.data_centre == 'one':
-            endpoint.elsewhere = 1
+            endpoint.peer_requests = 1
     assert choose(table).record.data_centre != 'one'
--- a/tests/gateway/test_quality.py
+++ b/tests/gateway/test_quality.py
@@ -71,7 +71,7 @@
 def test_word_of_a_peer_counts_and_fades():
     table = make_table()
     answer(table, 10.0, i_0=0.015, i_1=0.015, i_2=0.015)
-    table.find('i-2').quality.note_told(slowness=9.0, now=10.0)
+    table.find('i-2').quality.note_peer_slowness(slowness=9.0, now=10.0)
     assert 'i-2' not in choose(table, 10.0)
     assert 'i-2' in choose(table, 60.0)
 
@@ -93,7 +93,7 @@
     for _ in range(10):
         one.note_answer(seconds=0.015, now=10.0)
     one.note_answer(seconds=0.03, now=10.0)
-    assert one.own_slowness(usual=0.015, now=10.0) == 1.0
+    assert one.measured_slowness(usual=0.015, now=10.0) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -125,6 +125,8 @@
                 one.note_success(now=0.0)
             case 'e':
                 one.note_error(now=0.0)
-    trouble = one.own_trouble(usual=0.02, now=0.0)
-    assert (trouble > quality.SLOW_FROM) is told
-    assert one.own_trouble(usual=0.02, now=30.0) < quality.SLOW_FROM
+    trouble = one.slowness_for_peers(usual=0.02, now=0.0)
+    assert (trouble > quality.MIN_SLOW_RATIO) is told
+    assert (
+        one.slowness_for_peers(usual=0.02, now=30.0) < quality.MIN_SLOW_RATIO
+    )
--- a/tests/gateway/test_restores.py
+++ b/tests/gateway/test_restores.py
@@ -66,7 +66,7 @@
             data_centre='one', random=random.Random(1)
         )
         self.source = site.FakeEndpoints()
-        self.follower = discovery.Follower(
+        self.follower = discovery.EndpointFollower(
             source=self.source,
             table=self.table,
             clock=virtual_time.now,
@@ -86,7 +86,7 @@
         self.follower.note_restore()
         self.source.records = list(records)
         self.source.revision = revision
-        self.follower.take_listing(listing(*records, revision=revision))
+        self.follower.apply_listing(listing(*records, revision=revision))
 
     @contextlib.asynccontextmanager
     async def run(self):
@@ -117,16 +117,16 @@
     one.source.records = [make_record(), make_record('i-2')]
     async with one.run():
         if said:
-            one.follower.take_changes(
+            one.follower.apply_changes(
                 changes(make_record(leaving=True), revision=5)
             )
-        one.follower.take_changes(changes(removed=('i-1',), revision=6))
+        one.follower.apply_changes(changes(removed=('i-1',), revision=6))
         await anyio.sleep(10.0)
         one.restore(make_record(), make_record('i-2'))
         assert (one.open('i-1'), one.open('i-2')) == (False, True)
         # Its entry lapses, as nobody writes it.
         await anyio.sleep(AGAIN - 1.0)
-        one.follower.take_changes(changes(removed=('i-1',), revision=101))
+        one.follower.apply_changes(changes(removed=('i-1',), revision=101))
         await anyio.sleep(AGAIN)
         assert not one.open('i-1')
 
@@ -161,10 +161,10 @@
     one = Followed()
     one.source.records = [make_record()]
     async with one.run():
-        one.follower.take_changes(changes(removed=('i-1',), revision=6))
+        one.follower.apply_changes(changes(removed=('i-1',), revision=6))
         one.restore(make_record())
         if writes:
-            one.follower.take_changes(changes(make_record(), revision=101))
+            one.follower.apply_changes(changes(make_record(), revision=101))
         await anyio.sleep(seconds)
         assert one.open() is is_open
 
@@ -173,7 +173,7 @@
     one = Followed()
     one.source.records = [make_record(born=1000)]
     async with one.run():
-        one.follower.take_changes(changes(removed=('i-1',), revision=6))
+        one.follower.apply_changes(changes(removed=('i-1',), revision=6))
         one.restore(make_record(born=2000))
         assert one.open()
         # A copy of before does not bring the older start back.
@@ -193,10 +193,10 @@
     async with one.run():
         one.restore()
         assert one.open()
-        await anyio.sleep(presence.KEEP_VANISHED - 0.5)
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS - 0.5)
         assert one.open()
         if comes_back:
-            one.follower.take_changes(changes(make_record(), revision=101))
+            one.follower.apply_changes(changes(make_record(), revision=101))
         await anyio.sleep(1.0)
         assert one.open() is comes_back
 
--- a/tests/gateway/test_status.py
+++ b/tests/gateway/test_status.py
@@ -75,8 +75,8 @@
     async with site.run_site(one) as running:
         here = f'{site.HOST}:{running.gateway.peer_port}'
         known = running.gateway.containment.suspects
-        known.take(
-            suspects.Suspicion(
+        known.merge(
+            suspects.SuspectRecord(
                 fingerprint='0123456789abcdef',
                 ends=(
                     suspects.EndAge(start=1, age=60.0),
--- a/tests/gateway/test_suspect_exchange.py
+++ b/tests/gateway/test_suspect_exchange.py
@@ -70,8 +70,8 @@
     def start(self):
         """Start with nothing known."""
         self.suspects = suspects.Suspects(
-            is_trier=lambda fingerprint: self.name
-            == suspects.find_trier(
+            is_prober=lambda fingerprint: self.name
+            == suspects.choose_prober(
                 fingerprint, [one.name for one in self.network.entries]
             ),
             on_block=lambda fingerprint: None,
@@ -81,7 +81,7 @@
             known=self.suspects,
             peers=Peers(self, self.network),
             fetch=self._fetch,
-            hasten=self._report_soon,
+            send_reports_now=self._report_soon,
             clock=virtual_time.now,
         )
         self.peer.report = None
@@ -99,11 +99,13 @@
             )
         )
         for fingerprint in fingerprints:
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
 
     def report(self):
         """Report to all peers, as far as reports arrive."""
-        report = site.make_report(self.name, suspect_news=self.exchange.tell())
+        report = site.make_report(
+            self.name, suspect_news=self.exchange.make_update()
+        )
         self.peer.report = report
         for other in self.network.entries:
             if other is not self and self.network.delivers(self, other):
@@ -122,7 +124,7 @@
 
     async def _deliver(self, other, report):
         await anyio.sleep(DELAY)
-        other.exchange.hear(report)
+        other.exchange.handle_report(report)
 
     def _report_soon(self):
         self.network.tasks.start_soon(self._report_now)
@@ -161,13 +163,14 @@
 
     def knowing(self, fingerprint, verdict=suspects.Blocked):
         return sum(
-            isinstance(entry.suspects.judge(fingerprint), verdict)
+            isinstance(entry.suspects.decide(fingerprint), verdict)
             for entry in self.entries
         )
 
 
 @pytest.mark.parametrize(
-    ('seconds', 'knowing'), [(0.01, 0), (suspects.WORD_SECONDS + 0.01, 12)]
+    ('seconds', 'knowing'),
+    [(0.01, 0), (suspects.PEER_REPORT_SECONDS + 0.01, 12)],
 )
 async def test_all_know_within_a_tenth_of_a_second(seconds, knowing):
     async with anyio.create_task_group() as tasks:
@@ -176,7 +179,7 @@
         network.entries[1].end('i-2', 'a')
         await anyio.sleep(seconds)
         assert network.knowing('a') == knowing
-        assert network.knowing('a', suspects.Free) == 0
+        assert network.knowing('a', suspects.Allowed) == 0
         tasks.cancel_scope.cancel()
 
 
@@ -186,9 +189,9 @@
         network.entries[0].end('i-1', 'a')
         await anyio.sleep(0.05)
         network.entries[5].suspects.note_answer('a')
-        network.entries[5].exchange.note('a')
+        network.entries[5].exchange.note_change('a')
         await anyio.sleep(0.05)
-        assert network.knowing('a', suspects.Free) == 12
+        assert network.knowing('a', suspects.Allowed) == 12
         tasks.cancel_scope.cancel()
 
 
@@ -259,9 +262,9 @@
     async def ask(self, entry):
         """Ask one entry once; a place is free at once."""
         known = entry.suspects
-        while isinstance(known.judge('a'), suspects.Undecided):
-            await anyio.sleep(suspects.WORD_SECONDS / 4.0)
-        if isinstance(known.judge('a'), suspects.Blocked):
+        while isinstance(known.decide('a'), suspects.Undecided):
+            await anyio.sleep(suspects.PEER_REPORT_SECONDS / 4.0)
+        if isinstance(known.decide('a'), suspects.Blocked):
             self.refused += 1
             return
         known.begin('a')
--- a/tests/gateway/test_suspect_keeper.py
+++ b/tests/gateway/test_suspect_storage.py
@@ -8,14 +8,14 @@
 import virtual_time
 
 from marigoldramp.gateway import endpoint_ends
-from marigoldramp.gateway import suspect_keeper
+from marigoldramp.gateway import suspect_storage
 from marigoldramp.gateway import suspects
 from marigoldramp import store as store_module
 
 from . import site
 
 pytestmark = pytest.mark.anyio
-LOOK = suspect_keeper.LOOK_EVERY + 0.01
+LOOK = suspect_storage.LOOK_EVERY + 0.01
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
 
     def put(self, name, value):
         self.version += 1
-        key = store_module.Key(kind=suspect_keeper.KIND, name=name)
+        key = store_module.Key(kind=suspect_storage.KIND, name=name)
         self.objects[key] = store_module.Stored(
             key=key, version=self.version, value=value
         )
@@ -62,11 +62,11 @@
     def __init__(self, store, position=0):
         self.position = position
         self.suspects = suspects.Suspects(
-            is_trier=lambda fingerprint: False,
+            is_prober=lambda fingerprint: False,
             on_block=lambda fingerprint: None,
             clock=virtual_time.now,
         )
-        self.keeper = suspect_keeper.SuspectKeeper(
+        self.keeper = suspect_storage.SuspectStorage(
             known=self.suspects,
             store=store,
             position=lambda: self.position,
@@ -92,7 +92,7 @@
                     fingerprints=(fingerprint,),
                 )
             )
-        await anyio.sleep(suspects.WORD_SECONDS)
+        await anyio.sleep(suspects.PEER_REPORT_SECONDS)
         self.suspects.refresh()
 
 
@@ -114,9 +114,9 @@
         await entry.block('a')
         await anyio.sleep(LOOK)
     async with Entry(store).run() as entry:
-        await anyio.sleep(suspects.WORD_SECONDS)
-        assert isinstance(entry.suspects.judge('a'), suspects.Blocked)
-        assert isinstance(entry.suspects.judge('b'), suspects.Free)
+        await anyio.sleep(suspects.PEER_REPORT_SECONDS)
+        assert isinstance(entry.suspects.decide('a'), suspects.Blocked)
+        assert isinstance(entry.suspects.decide('b'), suspects.Allowed)
 
 
 async def test_row_of_a_request_that_was_answered_is_removed():
@@ -154,7 +154,7 @@
         await entry.block('a')
         await anyio.sleep(seconds)
         store.away = False
-        await anyio.sleep(suspect_keeper.RETRY_AFTER + 2.0 * LOOK)
+        await anyio.sleep(suspect_storage.RETRY_AFTER + 2.0 * LOOK)
         assert store.names == ['a']
 
 
@@ -165,7 +165,7 @@
         await entry.block('a')
         await anyio.sleep(LOOK)
         store.objects.clear()
-        await anyio.sleep(suspect_keeper.READ_EVERY + 2.0 * LOOK)
+        await anyio.sleep(suspect_storage.READ_EVERY + 2.0 * LOOK)
         assert store.names == ['a']
 
 
@@ -189,9 +189,9 @@
     store.put('a', value)
     store.put('b', msgspec.json.encode({'starts': [1, 2]}))
     async with Entry(store).run() as entry:
-        await anyio.sleep(suspects.WORD_SECONDS)
-        assert isinstance(entry.suspects.judge('a'), suspects.Free)
-        assert isinstance(entry.suspects.judge('b'), suspects.Blocked)
+        await anyio.sleep(suspects.PEER_REPORT_SECONDS)
+        assert isinstance(entry.suspects.decide('a'), suspects.Allowed)
+        assert isinstance(entry.suspects.decide('b'), suspects.Blocked)
 
 
 async def test_nothing_is_asked_while_nothing_is_blocked():
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -11,7 +11,7 @@
 from marigoldramp.gateway import suspects
 
 FIRST = suspects.FIRST_BLOCK_SECONDS
-WORD = suspects.WORD_SECONDS
+WORD = suspects.PEER_REPORT_SECONDS
 
 
 class Known:
@@ -22,7 +22,7 @@
         self.trier = trier
         self.blocked = []
         self.suspects = suspects.Suspects(
-            is_trier=lambda fingerprint: self.trier,
+            is_prober=lambda fingerprint: self.trier,
             on_block=self.blocked.append,
             clock=lambda: self.now,
         )
@@ -38,22 +38,22 @@
         self.now += wait
         self.suspects.refresh()
 
-    def judge(self, fingerprint):
-        return type(self.suspects.judge(fingerprint)).__name__
+    def decide(self, fingerprint):
+        return type(self.suspects.decide(fingerprint)).__name__
 
     def tell(self, other):
         for suspicion in self.suspects.list_all():
-            other.suspects.take(suspicion, source='peer')
+            other.suspects.merge(suspicion, source='peer')
         other.suspects.refresh()
 
 
 @pytest.mark.parametrize(
     ('story', 'verdicts'),
     [
-        ([], 'Free Free'),
-        ([('i-1', 'a')], 'Suspected Free'),
-        ([('i-1', 'a'), ('i-1', 'a')], 'Suspected Free'),
-        ([('i-1', 'a'), ('i-2', 'a')], 'Blocked Free'),
+        ([], 'Allowed Allowed'),
+        ([('i-1', 'a')], 'Suspected Allowed'),
+        ([('i-1', 'a'), ('i-1', 'a')], 'Suspected Allowed'),
+        ([('i-1', 'a'), ('i-2', 'a')], 'Blocked Allowed'),
         ([('i-1', 'a', 'b')], 'Suspected Suspected'),
         ([('i-1', 'a', 'b'), ('i-2', 'a')], 'Blocked Suspected'),
         ([('i-1', 'a', 'b'), ('i-2', 'a', 'b')], 'Suspected Suspected'),
@@ -61,13 +61,13 @@
             [('i-1', 'a', 'b'), ('i-2', 'a', 'b'), ('i-3', 'a')],
             'Blocked Suspected',
         ),
-        ([('i-1', 'a', 'b'), ('i-2', 'a', 'b'), 'b'], 'Blocked Free'),
-        ([('i-1', 'a'), 'a', ('i-2', 'a')], 'Suspected Free'),
-        ([('i-1', 'a'), ('i-2', 'a'), 'a'], 'Free Free'),
-        (['a', ('i-1', 'a'), ('i-2', 'a'), ('i-3', 'a')], 'Suspected Free'),
+        ([('i-1', 'a', 'b'), ('i-2', 'a', 'b'), 'b'], 'Blocked Allowed'),
+        ([('i-1', 'a'), 'a', ('i-2', 'a')], 'Suspected Allowed'),
+        ([('i-1', 'a'), ('i-2', 'a'), 'a'], 'Allowed Allowed'),
+        (['a', ('i-1', 'a'), ('i-2', 'a'), ('i-3', 'a')], 'Suspected Allowed'),
         (
             ['a', ('i-1', 'a'), ('i-2', 'a'), ('i-3', 'a'), ('i-4', 'a')],
-            'Blocked Free',
+            'Blocked Allowed',
         ),
     ],
 )
@@ -88,7 +88,7 @@
             known.suspects.note_answer(event)
             known.now += 1.0
             known.suspects.refresh()
-    assert f'{known.judge("a")} {known.judge("b")}' == verdicts
+    assert f'{known.decide("a")} {known.decide("b")}' == verdicts
 
 
 def test_answer_that_another_entry_has_seen_counts():
@@ -105,13 +105,13 @@
     for endpoint in ('i-1', 'i-2', 'i-3'):
         one.end(endpoint, 'a', wait=0.0)
     [told] = one.suspects.list_all()
-    assert other.suspects.take(told, source='one')
+    assert other.suspects.merge(told, source='one')
     [told] = other.suspects.list_all()
-    assert not one.suspects.take(told, source='other')
-    assert not other.suspects.take(told, source='one')
+    assert not one.suspects.merge(told, source='other')
+    assert not other.suspects.merge(told, source='one')
     for known in (one, other):
         known.now += 2.0 * WORD
-        assert known.judge('a') == 'Suspected'
+        assert known.decide('a') == 'Suspected'
 
 
 def test_released_request_counts_anew():
@@ -124,11 +124,11 @@
     assert not known.suspects.release('a')
     assert not known.suspects.release('b')
     known.now += 1.0
-    assert known.judge('a') == 'Free'
+    assert known.decide('a') == 'Allowed'
     known.end('i-3', 'a')
-    assert known.judge('a') == 'Suspected'
+    assert known.decide('a') == 'Suspected'
     known.end('i-4', 'a')
-    assert known.judge('a') == 'Blocked'
+    assert known.decide('a') == 'Blocked'
 
 
 def test_answers_that_are_remembered_are_bounded():
@@ -149,7 +149,7 @@
             )
         )
         known.now += WORD
-    assert known.judge('a') == 'Blocked'
+    assert known.decide('a') == 'Blocked'
 
 
 def test_decision_waits_for_the_word_of_others():
@@ -162,12 +162,12 @@
     for endpoint in ('i-1', 'i-2'):
         one.end(endpoint, 'a', wait=0.0)
         other.end(endpoint, 'b', wait=0.0)
-    assert one.judge('a') == other.judge('b') == 'Undecided'
+    assert one.decide('a') == other.decide('b') == 'Undecided'
     one.tell(other)
     other.tell(one)
     for known in (one, other):
         known.now += WORD
-        assert known.judge('a') == known.judge('b') == 'Suspected'
+        assert known.decide('a') == known.decide('b') == 'Suspected'
     assert one.blocked == other.blocked == []
 
 
@@ -178,7 +178,7 @@
     known.end('i-2', 'a')
     known.end('i-3', 'a', wait=seconds)
     assert known.blocked == ['a']
-    assert known.judge('a') == 'Blocked'
+    assert known.decide('a') == 'Blocked'
 
 
 def test_block_doubles_with_each_further_end():
@@ -187,12 +187,12 @@
     for number in range(1, 4):
         known.end(f'i-{number}', 'a', wait=0.0)
         known.now += WORD
-        verdict = known.suspects.judge('a')
+        verdict = known.suspects.decide('a')
         assert verdict.seconds == pytest.approx(
             FIRST * 2.0 ** (number - 1) - WORD
         )
         known.now += verdict.seconds + 0.001
-        assert known.judge('a') == 'Suspected'
+        assert known.decide('a') == 'Suspected'
 
 
 def test_one_trial_at_a_time_when_a_block_is_over():
@@ -201,21 +201,21 @@
     known.end('i-1', 'a')
     known.end('i-2', 'a')
     known.now += FIRST
-    assert known.judge('a') == 'Suspected'
+    assert known.decide('a') == 'Suspected'
     known.suspects.begin('a')
-    assert known.judge('a') == 'Blocked'
+    assert known.decide('a') == 'Blocked'
     known.suspects.finish('a')
-    assert known.judge('a') == 'Suspected'
+    assert known.decide('a') == 'Suspected'
 
 
 def test_only_one_entry_may_try():
     names = [f'entry-{number}' for number in range(40)]
     found = {
-        suspects.find_trier('a', random.Random(seed).sample(names, 40))
+        suspects.choose_prober('a', random.Random(seed).sample(names, 40))
         for seed in range(5)
     }
     assert len(found) == 1
-    owners = {suspects.find_trier(str(one), names) for one in range(200)}
+    owners = {suspects.choose_prober(str(one), names) for one in range(200)}
     assert len(owners) > 30
 
 
@@ -233,7 +233,7 @@
     for number in range(ends):
         known.end(f'i-{number}', 'a', wait=0.0)
     known.now += seconds
-    known.suspects.tidy()
+    known.suspects.prune()
     assert len(known.suspects) == kept
 
 
@@ -244,7 +244,7 @@
     for number in range(100):
         known.end(f'j-{number}', *(f'{number}-{one}' for one in range(20)))
     assert len(known.suspects) == suspects.MOST_SUSPECTS
-    assert known.judge('a') == 'Blocked'
+    assert known.decide('a') == 'Blocked'
 
 
 def test_word_that_was_long_on_its_way_changes_nothing():
@@ -259,8 +259,8 @@
     [old] = one.suspects.list_all()
     other.suspects.note_answer('a')
     other.now += 5.0
-    other.suspects.take(old, source='peer')
-    assert other.judge('a') == 'Free'
+    other.suspects.merge(old, source='peer')
+    assert other.decide('a') == 'Allowed'
 
 
 EVENTS = strategies.lists(
@@ -298,5 +298,5 @@
     digests = {str(known.suspects.digest()) for known in entries}
     assert len(digests) == 1
     for fingerprint in ('a', 'b'):
-        found = {known.judge(fingerprint) for known in entries}
+        found = {known.decide(fingerprint) for known in entries}
         assert len(found) == 1
