--- a/marigoldramp/agent.py
+++ b/marigoldramp/agent.py
@@ -18,7 +18,7 @@
 from . import executor
 from . import hand_overs
 from . import heads
-from . import map_conversation
+from . import map_client
 from . import messages
 from . import peers
 from . import planner
@@ -177,14 +177,14 @@
                 for one in self.planner.findings()
             ]
         leader = self.rank_group.leader if self.rank_group else None
-        trouble = leader.trouble if leader else None
+        failure = leader.failure if leader else None
         if self.runtime.watch.lasts(
             alarms.Name.MAP_CHANGE_STALLED,
-            present=trouble not in (None, map_conversation.Trouble.DEPOSED),
+            present=failure not in (None, map_client.Failure.DEPOSED),
             seconds=MAP_STALLED_AFTER,
         ):
-            assert trouble is not None
-            detail = f'{self.settings.group}: {trouble.value}'
+            assert failure is not None
+            detail = f'{self.settings.group}: {failure.value}'
             found.append(alarms.make(alarms.Name.MAP_CHANGE_STALLED, detail))
         return found
 
@@ -201,7 +201,7 @@
             engines=self.kind.rank_engines(),
             platform=self.runtime.platform,
             client=self.runtime.client,
-            listed=lambda: self.runtime.listed,
+            list_instances=lambda: self.runtime.listed,
             clock=self.runtime.clock,
             slack=self.executor.slack,
         )
@@ -221,7 +221,9 @@
                         collect=rank_group.collect,
                         clock=self.runtime.clock,
                     )
-                    await rank_group.lead(group=described, plans=self.planner)
+                    await rank_group.lead(
+                        group=described, map_planner=self.planner
+                    )
                 await changed.wait()
 
     def _find_group(self) -> bundle.Group | None:
--- a/marigoldramp/expert_maps.py
+++ b/marigoldramp/expert_maps.py
@@ -123,7 +123,7 @@
     return faults
 
 
-def count_loads(*, old: ExpertMap | None, new: ExpertMap) -> list[int]:
+def count_weight_loads(*, old: ExpertMap | None, new: ExpertMap) -> list[int]:
     """Return how many experts each rank has to load for a new map."""
     loads = [0] * len(new.layers[0]) if new.layers else []
     for number, layer in enumerate(new.layers):
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -18,7 +18,7 @@
 from .. import layer_moves
 from .. import logs
 from .. import map_changes
-from .. import map_conversation
+from .. import map_client
 from .. import map_moves
 from .. import placement
 from . import demand_monitor
@@ -161,7 +161,7 @@
         self,
         *,
         expert_map: expert_maps.ExpertMap,
-        conversation: map_conversation.Conversation,
+        client: map_client.GroupClient,
     ) -> map_changes.Plan | None:
         """Return the change to make now, if any; watch for a while."""
         until = self._clock() + SAMPLE_SECONDS
@@ -171,7 +171,7 @@
 
         while True:
             use = self._use()
-            names = self._choose(conversation, use)
+            names = self._choose(client, use)
             if self._are_newly_slow():
                 return await self._search(expert_map)
             pause = self._find_pause(use)
@@ -193,17 +193,15 @@
                 return None
             await anyio.sleep(LOOK_SECONDS)
 
-    def ended(self, *, plan: map_changes.Plan, done: bool) -> None:
+    def record_outcome(self, *, plan: map_changes.Plan, done: bool) -> None:
         """Learn whether a change took place."""
         logging.info('map change ended', extra=logs.fields(done=done))
 
-    def _choose(
-        self, talk: map_conversation.Conversation, use: float
-    ) -> list[str]:
+    def _choose(self, client: map_client.GroupClient, use: float) -> list[str]:
         """Return the ranks to read; the first ones are watched."""
         # A slow rank gets no requests, so it counts nothing.
-        slow = {talk.find_agent(rank) for rank in self._slow_ranks()}
-        names = sorted(talk.members())
+        slow = {client.find_agent(rank) for rank in self._slow_ranks()}
+        names = sorted(client.members())
         known = [name for name in names if name not in slow] or names
         places = _weigh(use, MEASURED_IDLE, MEASURED_FULL)
         return known[: min(MOST_MEASURED, math.ceil(places / self._slots))]
@@ -288,8 +286,8 @@
         ]
         new = await map_moves.MapSearch(
             searches=self._begin_searches(expert_map, popular, slow),
-            gain_a_copy=self._find_gain_a_copy(use),
-            most_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
+            min_gain_per_copy=self._find_gain_a_copy(use),
+            max_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
         ).improve()
         before = mean_skew(expert_map.layers, popular, slow)
         after = mean_skew(new, popular, slow)
--- a/marigoldramp/gateway/leader_election.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -2,9 +2,10 @@
 
 Leading is under a lease in the store, whose number makes ranks refuse an
 older leader; where ranks check no number, see
-:mod:`marigoldramp.map_completion`.  Contending for a lease costs calls of the
-store, so only one entry contends: the first in an order on which all agree,
-among those that are heard and fit, and only while nobody says that it leads.
+:mod:`marigoldramp.map_decisions_unfenced`.  Contending for a lease costs
+calls of the store, so only one entry contends: the first in an order on which
+all agree, among those that are heard and fit, and only while nobody says that
+it leads.
 Where entries disagree about who that is, the lease decides.
 """
 
@@ -18,9 +19,9 @@
 from .. import expert_maps
 from .. import leases
 from .. import logs
-from .. import map_conversation
+from .. import map_client
 from .. import map_leader
-from .. import map_settling
+from .. import map_reconciliation
 from .. import rendezvous
 from .. import store as store_module
 from . import deployment
@@ -44,11 +45,12 @@
 #: for which it does not try again itself.
 UNREACHED_SECONDS = 3.0
 UNFIT_SECONDS = 10.0
-#: Times of a leader, see :class:`.map_settling.Pace`; the planner waits too.
-PACE = map_settling.Pace(
-    poll=0.1,
-    retry=0.15,
-    contend=0.5,
+#: Times of a leader, see :class:`.map_reconciliation.Timing`; the planner
+#: waits too.
+TIMING = map_reconciliation.Timing(
+    poll_seconds=0.1,
+    retry_seconds=0.15,
+    contend_seconds=0.5,
     lead_steps=8,
 )
 
@@ -183,7 +185,7 @@
             name
             for name, office in self._offices.items()
             if office.lease.held()
-            and office.leader.trouble is not map_conversation.Trouble.DEPOSED
+            and office.leader.failure is not map_client.Failure.DEPOSED
         )
 
     async def run(self) -> None:
@@ -251,8 +253,8 @@
             if not held and (name in elsewhere or not self.eligible):
                 office.scope.cancel()
                 continue
-            trouble = office.leader.trouble
-            if trouble is not map_conversation.Trouble.UNREACHED:
+            failure = office.leader.failure
+            if failure is not map_client.Failure.UNREACHED:
                 office.unreached_since = float('inf')
                 continue
             office.unreached_since = min(office.unreached_since, now)
@@ -316,7 +318,7 @@
                 clock=self._clock,
             ),
             clock=self._clock,
-            pace=PACE,
+            timing=TIMING,
             fenced=fenced,
         )
         office = _Office(group=group, leader=leader, lease=lease)
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -86,7 +86,7 @@
 
 
 class RankTransport:
-    """A transport of orders, see :class:`.map_conversation.Transport`.
+    """A transport of orders, see :class:`.map_client.Transport`.
 
     :param find: returns the endpoint of a name.
     :param fenced: ranks refuse a lower token than they have seen.
--- a/marigoldramp/leases.py
+++ b/marigoldramp/leases.py
@@ -39,7 +39,7 @@
 MOST_ATTEMPTS = 16
 #: Fencing numbers between two restores of the store: changes of hands, of
 #: which there are some each day.
-FENCES_AN_ERA = 1 << 16
+FENCES_PER_ERA = 1 << 16
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True):
@@ -260,7 +260,7 @@
 
     def _least_fence(self) -> int:
         """Return a number that all fences of before the last restore reach."""
-        return self._store.era() * FENCES_AN_ERA
+        return self._store.era() * FENCES_PER_ERA
 
     async def _take(self, expected: int) -> Held | NotHeld:
         fence = max(self._highest, self._least_fence()) + 1
--- a/marigoldramp/map_changes.py
+++ b/marigoldramp/map_changes.py
@@ -19,12 +19,12 @@
 from . import expert_maps
 from . import leases
 from . import logs
-from . import map_conversation
+from . import map_client
 from . import map_orders
-from . import map_settling
+from . import map_reconciliation
 from . import steps
 
-Trouble = map_conversation.Trouble
+Failure = map_client.Failure
 
 #: The rank that is held during a change; any one does.
 HELD_RANK = 0
@@ -81,7 +81,7 @@
 
     __slots__ = (
         '_instance',
-        '_pace',
+        '_timing',
         '_clock',
         '_sleep',
         '_may_go_on',
@@ -93,14 +93,14 @@
         self,
         *,
         instance: str,
-        pace: map_settling.Pace,
+        timing: map_reconciliation.Timing,
         clock: Callable[[], float],
         may_go_on: Callable[[], bool],
         fenced: bool = True,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
         self._instance = instance
-        self._pace = pace
+        self._timing = timing
         self._clock = clock
         self._may_go_on = may_go_on
         self._fenced = fenced
@@ -109,7 +109,7 @@
 
     async def change(
         self,
-        talk: map_conversation.Conversation,
+        client: map_client.GroupClient,
         plan: Plan,
     ) -> bool:
         """Take a change up to the release; return whether all have armed it.
@@ -117,122 +117,122 @@
         On any trouble it stops where it is, and settling undoes or finishes
         what stands.
         """
-        version = talk.name_map()
+        version = client.name_map()
         new = expert_maps.ExpertMap(version=version, layers=plan.layers)
         if plan.load_seconds is None:
-            held = await self._hold_loaded(talk, new, plan)
+            held = await self._hold_loaded(client, new, plan)
             patience = 0.0
         else:
-            held = await self._hold_timed(talk, new, plan.load_seconds)
+            held = await self._hold_timed(client, new, plan.load_seconds)
             patience = ARM_PATIENCE
         if held is None:
             return False
-        rank = self._choose_held(talk)
+        rank = self._choose_held(client)
         logging.info(
             'step held',
             extra=logs.fields(version=str(version), rank=rank, step=held),
         )
         await steps.reach(steps.Step.MAP_ARM_SENT, self._instance)
         order = map_orders.Arm(version=version, from_step=held + 1)
-        if not await self._arm(talk, order, patience):
+        if not await self._arm(client, order, patience):
             return False
         logging.info(
             'map armed',
             extra=logs.fields(
                 version=str(version),
                 from_step=order.from_step,
-                ranks=len(talk.members()),
+                ranks=len(client.members()),
             ),
         )
         await steps.reach(steps.Step.MAP_ARMED, self._instance)
-        await map_settling.release(
-            talk, (self._choose_held(talk),), self._instance
+        await map_reconciliation.release(
+            client, (self._choose_held(client),), self._instance
         )
         return True
 
     async def _hold_loaded(
         self,
-        talk: map_conversation.Conversation,
+        client: map_client.GroupClient,
         new: expert_maps.ExpertMap,
         plan: Plan,
     ) -> int | None:
         """Hold a rank once all have reported that they have loaded."""
-        if not await self._prepare(talk, new, plan.load_limit):
+        if not await self._prepare(client, new, plan.load_limit):
             return None
-        states = await self._await_slack(talk, plan.stall_seconds)
-        if isinstance(states, Trouble) or not self._may_go_on():
+        states = await self._await_slack(client, plan.stall_seconds)
+        if isinstance(states, Failure) or not self._may_go_on():
             return None
         if _is_held(states):
             return None
-        agent = talk.find_agent(self._choose_held(talk))
+        agent = client.find_agent(self._choose_held(client))
         if agent is None:
             return None
         entered = max((state.entered for state in states), default=0)
         return await self._hold_first(
-            talk, agent, entered + self._pace.lead_steps
+            client, agent, entered + self._timing.lead_steps
         )
 
     async def _hold_timed(
         self,
-        talk: map_conversation.Conversation,
+        client: map_client.GroupClient,
         new: expert_maps.ExpertMap,
         seconds: float,
     ) -> int | None:
         """Hold a rank after the time in which all should have loaded."""
         await steps.reach(steps.Step.MAP_PREPARE_SENT, self._instance)
         began = self._clock()
-        trouble = await talk.send_all(map_orders.Prepare(expert_map=new))
+        failure = await client.send_all(map_orders.Prepare(expert_map=new))
         self._note_orders(since=began)
-        if trouble is not None:
+        if failure is not None:
             return None
         await self._sleep(seconds)
-        agent = talk.find_agent(self._choose_held(talk))
+        agent = client.find_agent(self._choose_held(client))
         if agent is None:
             return None
         # The step that the rank has begun at the least is all that is asked.
         # A report that shows the effect of all orders comes 0.35 s after the
         # last one; waiting for it left a group of 72 ranks uneven for 0.45 s
         # from each plan on instead of 0.26.
-        answer = await talk.send(agent, map_orders.Confirm(settled=False))
-        if isinstance(answer, Trouble) or not self._may_go_on():
+        answer = await client.send(agent, map_orders.Confirm(settled=False))
+        if isinstance(answer, Failure) or not self._may_go_on():
             return None
         if _is_held(answer.states):
             return None
         first = answer.states[0].entered + FIRST_LEAD
         if self._clock() < self._slow_until:
             first += SLOW_LEAD
-        return await self._hold_first(talk, agent, first)
+        return await self._hold_first(client, agent, first)
 
     async def _hold_first(
-        self, talk: map_conversation.Conversation, agent: str, first: int
+        self, client: map_client.GroupClient, agent: str, first: int
     ) -> int | None:
         """Hold one rank before the first step that it does not refuse."""
         for step in range(first, first + MOST_LEAD):
-            if not self._may_hold(talk, step):
+            if not self._may_hold(client, step):
                 continue
-            held = await self._hold(talk, agent, step)
-            if held != Trouble.REFUSED:
+            held = await self._hold(client, agent, step)
+            if held != Failure.REFUSED:
                 return held if isinstance(held, int) else None
         return None
 
     async def _arm(
         self,
-        talk: map_conversation.Conversation,
+        client: map_client.GroupClient,
         order: map_orders.Arm,
         patience: float,
     ) -> bool:
         """Have all ranks arm a map; return whether all of them have."""
         began = self._clock()
-        left = tuple(talk.members())
+        left = tuple(client.members())
         while left:
-            answers = await talk.ask_each({agent: order for agent in left})
+            answers = await client.ask_each({agent: order for agent in left})
             self._note_orders(since=began)
             left = tuple(
                 agent
                 for agent, answer in answers.items()
-                if isinstance(answer, Trouble)
+                if isinstance(answer, Failure)
             )
-            if any(answers[one] != Trouble.REFUSED for one in left):
+            if any(answers[one] != Failure.REFUSED for one in left):
                 return False
             if left and self._clock() - began >= patience:
                 return False
@@ -248,64 +248,62 @@
 
     async def _prepare(
         self,
-        talk: map_conversation.Conversation,
+        client: map_client.GroupClient,
         new: expert_maps.ExpertMap,
         limit: float,
     ) -> bool:
         """Have every rank load a map's weights; give up at the limit."""
         until = self._clock() + limit
         await steps.reach(steps.Step.MAP_PREPARE_SENT, self._instance)
-        trouble = await talk.send_all(map_orders.Prepare(expert_map=new))
-        if trouble is not None:
+        failure = await client.send_all(map_orders.Prepare(expert_map=new))
+        if failure is not None:
             return False
         while self._clock() < until:
-            states = await talk.inspect_members()
-            if isinstance(states, Trouble):
+            states = await client.inspect_members()
+            if isinstance(states, Failure):
                 return False
             if all(new.version in state.loaded for state in states):
                 await steps.reach(steps.Step.MAP_PREPARED, self._instance)
                 return True
             if any(state.schedule is None for state in states):
                 return False
-            await self._sleep(self._pace.retry)
+            await self._sleep(self._timing.retry_seconds)
         return False
 
     async def _await_slack(
-        self, talk: map_conversation.Conversation, stall: float
-    ) -> tuple[map_orders.RankState, ...] | Trouble:
+        self, client: map_client.GroupClient, stall: float
+    ) -> tuple[map_orders.RankState, ...] | Failure:
         """Return the states of all ranks once every call can wait.
 
         Loading took seconds, and calls have begun since the plan was made.
         """
         until = self._clock() + SLACK_PATIENCE
         while True:
-            states = await talk.inspect_members()
-            if isinstance(states, Trouble) or talk.slack() >= stall:
+            states = await client.inspect_members()
+            if isinstance(states, Failure) or client.slack() >= stall:
                 return states
             if self._clock() >= until or not self._may_go_on():
-                return Trouble.REFUSED
-            await self._sleep(self._pace.retry)
+                return Failure.REFUSED
+            await self._sleep(self._timing.retry_seconds)
 
     async def _hold(
-        self, talk: map_conversation.Conversation, agent: str, step: int
-    ) -> int | Trouble:
+        self, client: map_client.GroupClient, agent: str, step: int
+    ) -> int | Failure:
         """Hold one rank; return the step before which it holds."""
-        rank = self._choose_held(talk)
+        rank = self._choose_held(client)
         await steps.reach(steps.Step.MAP_HOLD_SENT, self._instance)
-        answer = await talk.send(
+        answer = await client.send(
             agent, map_orders.Hold(rank=rank, before_step=step)
         )
-        if isinstance(answer, Trouble):
+        if isinstance(answer, Failure):
             return answer
         for state in answer.states:
             if state.rank == rank and state.hold_before is not None:
                 await steps.reach(steps.Step.MAP_HELD, self._instance)
                 return state.hold_before
-        return Trouble.REFUSED
+        return Failure.REFUSED
 
-    def _may_hold(
-        self, talk: map_conversation.Conversation, step: int
-    ) -> bool:
+    def _may_hold(self, client: map_client.GroupClient, step: int) -> bool:
         """Whether a change of ours may hold a step.
 
         Of the leaders that hold one rank without fences each holds every
@@ -313,18 +311,20 @@
         """
         if self._fenced:
             return True
-        turn = talk.fence // len(talk.members())
-        turn += talk.fence // leases.FENCES_AN_ERA
+        turn = client.fence // len(client.members())
+        turn += client.fence // leases.FENCES_PER_ERA
         return step % 2 == turn % 2
 
-    def _choose_held(self, talk: map_conversation.Conversation) -> int:
+    def _choose_held(self, client: map_client.GroupClient) -> int:
         """Return the rank that is held during a change; any one does.
 
         Without fences, leaders that follow each other hold different ranks,
         so that a late copy of an order to release, from the one before, ends
         nothing of ours.
         """
-        return HELD_RANK if self._fenced else talk.fence % len(talk.members())
+        return (
+            HELD_RANK if self._fenced else client.fence % len(client.members())
+        )
 
 
 def _is_held(states: Sequence[map_orders.RankState]) -> bool:
--- a/marigoldramp/map_conversation.py
+++ b/marigoldramp/map_client.py
@@ -23,7 +23,7 @@
         """Deliver an order and return the reply, or that it is lost."""
 
 
-class Trouble(enum.Enum):
+class Failure(enum.Enum):
     """Why a leader could not go on with what it was doing."""
 
     DEPOSED = 'an agent knows a higher fence'
@@ -45,7 +45,7 @@
     maps: int = 0
 
 
-class Conversation:
+class GroupClient:
     """Numbers a leader's orders and remembers what agents answered.
 
     An order to all goes to the members: the agents that were listed when the
@@ -130,7 +130,7 @@
 
     async def inspect(
         self,
-    ) -> tuple[map_orders.RankState, ...] | Trouble:
+    ) -> tuple[map_orders.RankState, ...] | Failure:
         """Return the states of all ranks, none of which an older leader
         can still change.
 
@@ -142,7 +142,7 @@
 
     async def inspect_members(
         self,
-    ) -> tuple[map_orders.RankState, ...] | Trouble:
+    ) -> tuple[map_orders.RankState, ...] | Failure:
         """Return the states of all ranks of the members.
 
         Agents first take on this leader's fence and tell their incarnation;
@@ -151,14 +151,14 @@
         question, which names the incarnation, finds it out.
         """
         new = [one for one in self._members if one not in self._incarnations]
-        trouble = await self.send_each(
+        failure = await self.send_each(
             {agent: map_orders.Inspect() for agent in new}
         )
-        if trouble is not None:
-            return trouble
-        trouble = await self.send_all(map_orders.Confirm())
-        if trouble is not None:
-            return trouble
+        if failure is not None:
+            return failure
+        failure = await self.send_all(map_orders.Confirm())
+        if failure is not None:
+            return failure
         return tuple(
             state
             for reply in self.replies.values()
@@ -172,25 +172,25 @@
         for agent in set(self._incarnations) - set(self._members):
             del self._incarnations[agent]
 
-    async def send_all(self, body: map_orders.Body) -> Trouble | None:
+    async def send_all(self, body: map_orders.Body) -> Failure | None:
         """Give all members one order; return what went wrong, if anything."""
         return await self.send_each({agent: body for agent in self._members})
 
     async def send_each(
         self, bodies: Mapping[str, map_orders.Body]
-    ) -> Trouble | None:
+    ) -> Failure | None:
         """Give each agent its order; return what went wrong, if anything."""
         answers = await self.ask_each(bodies)
-        for trouble in Trouble:
-            if trouble in answers.values():
-                return trouble
+        for failure in Failure:
+            if failure in answers.values():
+                return failure
         return None
 
     async def ask_each(
         self, bodies: Mapping[str, map_orders.Body]
-    ) -> dict[str, map_orders.Reply | Trouble]:
+    ) -> dict[str, map_orders.Reply | Failure]:
         """Give each agent its order; return what became of each."""
-        answers: dict[str, map_orders.Reply | Trouble] = {}
+        answers: dict[str, map_orders.Reply | Failure] = {}
 
         async def send(agent: str, body: map_orders.Body) -> None:
             answers[agent] = await self.send(agent, body)
@@ -202,7 +202,7 @@
 
     async def send(
         self, agent: str, body: map_orders.Body
-    ) -> map_orders.Reply | Trouble:
+    ) -> map_orders.Reply | Failure:
         """Give one agent an order; return its reply if it obeyed."""
         self._numbers.orders += 1
         order = map_orders.Order(
@@ -216,14 +216,14 @@
         answer = await self._transport.order(rank_agent=agent, order=order)
         if isinstance(answer, map_orders.Lost):
             self.replies[agent] = answer
-            return Trouble.UNREACHED
+            return Failure.UNREACHED
         return self._take(agent, answer)
 
     def _take(
         self, agent: str, reply: map_orders.Reply
-    ) -> map_orders.Reply | Trouble:
+    ) -> map_orders.Reply | Failure:
         if reply.fence > self._fence:
-            return Trouble.DEPOSED
+            return Failure.DEPOSED
         if reply.expert_map is None:
             self.replies[agent] = reply
         match reply.refusal:
@@ -231,7 +231,7 @@
                 self._incarnations[agent] = reply.incarnation
                 return reply
             case map_orders.Refusal.FENCE_OLD:
-                return Trouble.DEPOSED
+                return Failure.DEPOSED
             case map_orders.Refusal.INCARNATION:
                 self._incarnations.pop(agent, None)
-        return Trouble.REFUSED
+        return Failure.REFUSED
--- a/marigoldramp/map_completion.py
+++ b/marigoldramp/map_decisions_unfenced.py
@@ -20,8 +20,8 @@
 from typing import Sequence
 
 from . import expert_maps
+from . import map_decisions
 from . import map_orders
-from . import map_recovery
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -58,25 +58,25 @@
 
 
 Decision = (
-    map_recovery.Missing
-    | map_recovery.Disagree
+    map_decisions.Missing
+    | map_decisions.Disagree
     | Complete
     | Abandon
     | Seal
-    | map_recovery.Release
-    | map_recovery.Await
-    | map_recovery.Settled
+    | map_decisions.Release
+    | map_decisions.Await
+    | map_decisions.Settled
 )
 
 
 def decide(
     *, states: Sequence[map_orders.RankState], ranks: int
-) -> map_recovery.Decision | Decision:
-    """Return what has to be done next, see :func:`.map_recovery.decide`."""
+) -> map_decisions.Decision | Decision:
+    """Return what has to be done next, see :func:`.map_decisions.decide`."""
     seen = {state.rank for state in states}
     missing = set(range(ranks)) - seen
     if missing or len(states) != len(seen):
-        return map_recovery.Missing(ranks=tuple(sorted(missing)))
+        return map_decisions.Missing(ranks=tuple(sorted(missing)))
     schedules = {
         one.rank: one.schedule for one in states if one.schedule is not None
     }
@@ -84,17 +84,17 @@
     holders = tuple(one.rank for one in states if one.hold_before is not None)
     in_force = {one.in_force for one in schedules.values()}
     if len(schedules) < ranks or len(armed) > 1 or len(in_force) > 2:
-        return map_recovery.Disagree(versions=tuple(sorted(in_force)))
+        return map_decisions.Disagree(versions=tuple(sorted(in_force)))
     if armed:
         return _decide_armed(armed.pop(), states, holders)
     if len(in_force) > 1:
         # Reports of different moments, as the lag of each rank is its own.
-        return map_recovery.Disagree(versions=tuple(sorted(in_force)))
+        return map_decisions.Disagree(versions=tuple(sorted(in_force)))
     version = next(iter(in_force))
     if holders:
         return Seal(version=version, holders=holders)
     entered = max(one.entered for one in states)
-    return map_recovery.Settled(version=version, entered=entered)
+    return map_decisions.Settled(version=version, entered=entered)
 
 
 def _decide_armed(
@@ -106,7 +106,7 @@
     assert version is not None
     if any(_uses(one, version) for one in states):
         # The step has begun, and reports of some ranks are older.
-        return map_recovery.Await(schedule=armed)
+        return map_decisions.Await(schedule=armed)
     lacking = tuple(one for one in states if one.schedule != armed)
     if any(max(one.loaded) > version for one in lacking):
         return Abandon(version=version)
@@ -118,8 +118,8 @@
             ranks=tuple(one.rank for one in lacking),
         )
     if holders:
-        return map_recovery.Release(ranks=holders)
-    return map_recovery.Await(schedule=armed)
+        return map_decisions.Release(ranks=holders)
+    return map_decisions.Await(schedule=armed)
 
 
 def _uses(state: map_orders.RankState, version: expert_maps.Version) -> bool:
--- a/marigoldramp/map_fences.py
+++ b/marigoldramp/map_fences.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from . import leases
-from . import map_conversation
+from . import map_client
 from . import map_orders
 from . import store as store_module
 
@@ -39,7 +39,7 @@
     group: str,
     instance: str,
     agents: Sequence[str],
-    transport: map_conversation.Transport,
+    transport: map_client.Transport,
     read_fence: ReadFence,
 ) -> int | None:
     """Return the fence in force, or ``None`` while it cannot be known.
--- a/marigoldramp/map_leader.py
+++ b/marigoldramp/map_leader.py
@@ -14,13 +14,13 @@
 
 from . import expert_maps
 from . import map_changes
-from . import map_completion
-from . import map_conversation
-from . import map_recovery
-from . import map_settling
+from . import map_client
+from . import map_decisions
+from . import map_decisions_unfenced
+from . import map_reconciliation
 
-Trouble = map_conversation.Trouble
-Pace = map_settling.Pace
+Failure = map_client.Failure
+Timing = map_reconciliation.Timing
 Plan = map_changes.Plan
 
 
@@ -31,11 +31,11 @@
         self,
         *,
         expert_map: expert_maps.ExpertMap,
-        conversation: map_conversation.Conversation,
+        client: map_client.GroupClient,
     ) -> Plan | None:
         """Return the change to make now, if any."""
 
-    def ended(self, *, plan: Plan, done: bool) -> None:
+    def record_outcome(self, *, plan: Plan, done: bool) -> None:
         """Learn whether a change took place."""
 
 
@@ -71,7 +71,7 @@
         '_lease',
         '_renew_seconds',
         '_planner',
-        '_pace',
+        '_timing',
         '_sleep',
         '_numbers',
         '_settler',
@@ -79,7 +79,7 @@
         '_current',
         '_resigning',
         '_in_office',
-        'conversation',
+        'client',
     )
 
     def __init__(
@@ -89,12 +89,12 @@
         instance: str,
         shape: expert_maps.Shape,
         agents: Callable[[], Sequence[str]],
-        transport: map_conversation.Transport,
+        transport: map_client.Transport,
         lease: Lease,
         renew_seconds: float,
         planner: Planner,
         clock: Callable[[], float],
-        pace: Pace | None = None,
+        timing: Timing | None = None,
         fenced: bool = True,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
@@ -105,19 +105,23 @@
         self._lease = lease
         self._renew_seconds = renew_seconds
         self._planner = planner
-        self._pace = pace or Pace()
+        self._timing = timing or Timing()
         self._sleep = sleep
-        self._numbers = map_conversation.Numbers()
-        self._settler = map_settling.Settler(
+        self._numbers = map_client.Numbers()
+        self._settler = map_reconciliation.Settler(
             instance=instance,
             shape=shape,
-            pace=self._pace,
-            decide=map_recovery.decide if fenced else map_completion.decide,
+            timing=self._timing,
+            decide=(
+                map_decisions.decide
+                if fenced
+                else map_decisions_unfenced.decide
+            ),
             sleep=sleep,
         )
         self._changer = map_changes.Changer(
             instance=instance,
-            pace=self._pace,
+            timing=self._timing,
             clock=clock,
             may_go_on=lease.held,
             fenced=fenced,
@@ -126,17 +130,17 @@
         self._current: expert_maps.ExpertMap | None = None
         self._resigning = False
         self._in_office = False
-        self.conversation: map_conversation.Conversation | None = None
+        self.client: map_client.GroupClient | None = None
 
     @property
-    def decision(self) -> map_settling.Decision | None:
+    def decision(self) -> map_reconciliation.Decision | None:
         """Return what was to be done when the group was last looked at."""
         return self._settler.decision
 
     @property
-    def trouble(self) -> Trouble | None:
+    def failure(self) -> Failure | None:
         """Return why the last look at the group or deed in it failed."""
-        return self._settler.trouble
+        return self._settler.failure
 
     async def run(self) -> None:
         """Take the lease and lead, again and again, until resigned."""
@@ -145,7 +149,7 @@
             fence = getattr(taken, 'fence', None)
             if fence is not None:
                 await self._hold_office(fence)
-            await self._sleep(self._pace.contend)
+            await self._sleep(self._timing.contend_seconds)
 
     async def resign(self) -> None:
         """Return when the group is settled and the lease given up.
@@ -156,7 +160,7 @@
         """
         self._resigning = True
         while self._in_office:
-            await self._sleep(self._pace.retry)
+            await self._sleep(self._timing.retry_seconds)
 
     async def _hold_office(self, fence: int) -> None:
         self._in_office = True
@@ -181,7 +185,7 @@
         waiting for a release.  That is safe as long as agents obey it; they
         refuse it from the moment a newer leader has spoken to them.
         """
-        talk = map_conversation.Conversation(
+        client = map_client.GroupClient(
             group=self._group,
             leader=self._instance,
             fence=fence,
@@ -189,41 +193,41 @@
             transport=self._transport,
             numbers=self._numbers,
         )
-        self.conversation = talk
+        self.client = client
         while True:
-            trouble = await self._settler.settle(talk)
-            if trouble == Trouble.DEPOSED or not self._lease.held():
+            failure = await self._settler.settle(client)
+            if failure == Failure.DEPOSED or not self._lease.held():
                 return
             if self._resigning:
                 await self._lease.release()
                 return
-            if not await self._consider(talk):
-                await self._sleep(self._pace.poll)
+            if not await self._consider(client):
+                await self._sleep(self._timing.poll_seconds)
 
-    async def _consider(self, talk: map_conversation.Conversation) -> bool:
+    async def _consider(self, client: map_client.GroupClient) -> bool:
         """Ask the planner, and change the map if it wants that.
 
         :returns: whether a change was begun, so that the group is to be
             settled at once.
         """
         decision = self.decision
-        if not isinstance(decision, map_recovery.Settled):
+        if not isinstance(decision, map_decisions.Settled):
             return False
-        current = await self._find_current(talk, decision.version)
-        if isinstance(current, Trouble):
+        current = await self._find_current(client, decision.version)
+        if isinstance(current, Failure):
             return False
-        plan = await self._planner.plan(expert_map=current, conversation=talk)
+        plan = await self._planner.plan(expert_map=current, client=client)
         if plan is None:
             return False
-        done = await self._changer.change(talk, plan)
-        self._planner.ended(plan=plan, done=done)
+        done = await self._changer.change(client, plan)
+        self._planner.record_outcome(plan=plan, done=done)
         return True
 
     async def _find_current(
         self,
-        talk: map_conversation.Conversation,
+        client: map_client.GroupClient,
         version: expert_maps.Version,
-    ) -> expert_maps.ExpertMap | Trouble:
+    ) -> expert_maps.ExpertMap | Failure:
         """Return the map in force, fetched once for each version.
 
         A version never names two maps.  Fetched at every look, a map of 61
@@ -231,7 +235,7 @@
         """
         if self._current is not None and self._current.version == version:
             return self._current
-        found = await map_settling.fetch(talk, version)
+        found = await map_reconciliation.fetch(client, version)
         if isinstance(found, expert_maps.ExpertMap):
             self._current = found
         return found
--- a/marigoldramp/map_moves.py
+++ b/marigoldramp/map_moves.py
@@ -36,22 +36,22 @@
 class MapSearch:
     """The state of all layers while moves are sought.
 
-    :param gain_a_copy: least fall of the skew of a layer for one copy.
-    :param most_moves: moves that are tried in one layer.
+    :param min_gain_per_copy: least fall of the skew of a layer for one copy.
+    :param max_moves: moves that are tried in one layer.
     """
 
-    __slots__ = ('_layers', '_gain_a_copy', '_most_moves')
+    __slots__ = ('_layers', '_min_gain_per_copy', '_max_moves')
 
     def __init__(
         self,
         *,
         searches: Sequence[layer_moves.LayerSearch],
-        gain_a_copy: float,
-        most_moves: int,
+        min_gain_per_copy: float,
+        max_moves: int,
     ) -> None:
         self._layers = [_LayerState(search=one) for one in searches]
-        self._gain_a_copy = gain_a_copy
-        self._most_moves = most_moves
+        self._min_gain_per_copy = min_gain_per_copy
+        self._max_moves = max_moves
 
     async def improve(self) -> tuple[expert_maps.Layer, ...]:
         """Make moves while they pay; return the best layers."""
@@ -69,8 +69,8 @@
         """Make the next move in a layer; return whether there was one."""
         search = layer.search
         # No more can be gained than what is above an even layer.
-        unpaid = self._gain_a_copy * layer.spent
-        if layer.moves >= self._most_moves or unpaid >= layer.best_skew - 1.0:
+        unpaid = self._min_gain_per_copy * layer.spent
+        if layer.moves >= self._max_moves or unpaid >= layer.best_skew - 1.0:
             return False
         move = search.find()
         if move is None:
@@ -79,7 +79,7 @@
         layer.moves += 1
         layer.spent += move.loads
         gained = layer.best_skew - search.skew
-        if gained >= self._gain_a_copy * layer.spent:
+        if gained >= self._min_gain_per_copy * layer.spent:
             layer.best = search.layer()
             layer.best_skew = search.skew
             layer.spent = 0
--- a/marigoldramp/map_ranks.py
+++ b/marigoldramp/map_ranks.py
@@ -1,9 +1,9 @@
 """The agent's side of an expert-map change.
 
-``Ranks`` stands between a group's leader and the engines of the ranks beside
-this agent.  It refuses what is old, so that an engine which ignores fencing
-numbers is as safe as one which checks them, and it gives engines one order
-at a time.
+``OrderHandler`` stands between a group's leader and the engines of the ranks
+beside this agent.  It refuses what is old, so that an engine which ignores
+fencing numbers is as safe as one which checks them, and it gives engines one
+order at a time.
 """
 
 import abc
@@ -95,7 +95,7 @@
     return math.inf
 
 
-class Ranks:
+class OrderHandler:
     """The ranks beside one agent, as their group's leader sees them.
 
     :param engines: engine of each rank, by rank.
--- a/marigoldramp/planner.py
+++ b/marigoldramp/planner.py
@@ -9,7 +9,7 @@
 
 from . import bundle
 from . import expert_maps
-from . import map_conversation
+from . import map_client
 from . import map_leader
 from . import placement
 from . import popularity
@@ -91,7 +91,7 @@
         self,
         *,
         expert_map: expert_maps.ExpertMap,
-        conversation: map_conversation.Conversation,
+        client: map_client.GroupClient,
     ) -> map_leader.Plan | None:
         """Return the change to make now, if any."""
         if self._clock() >= self._next:
@@ -100,7 +100,7 @@
             self._due = True
         if not self._due:
             return None
-        wanted = await self._decide(expert_map, conversation.slack)
+        wanted = await self._decide(expert_map, client.slack)
         self.outlook = wanted
         if isinstance(wanted, placement.Stay):
             return None
@@ -145,7 +145,7 @@
             slack=slack,
         )
 
-    def ended(self, *, plan: map_leader.Plan, done: bool) -> None:
+    def record_outcome(self, *, plan: map_leader.Plan, done: bool) -> None:
         """Learn whether a change took place."""
         self._policy.end_change(done=done)
 
--- a/marigoldramp/rank_groups.py
+++ b/marigoldramp/rank_groups.py
@@ -112,9 +112,9 @@
     """One agent's ranks and its turn at leading their group.
 
     :param name: the group's name.
-    :param listed: returns the instance list as it was last read.
+    :param list_instances: returns the instance list as it was last read.
     :param engines: engine of each rank beside this agent.
-    :param slack: see :class:`.map_ranks.Ranks`.
+    :param slack: see :class:`.map_ranks.OrderHandler`.
     """
 
     def __init__(
@@ -126,9 +126,9 @@
         engines: Mapping[int, map_ranks.RankEngine],
         platform: store_module.PlatformStore,
         client: peers.Client,
-        listed: Callable[[], Sequence[store_module.Instance]],
+        list_instances: Callable[[], Sequence[store_module.Instance]],
         clock: Callable[[], float],
-        pace: map_leader.Pace | None = None,
+        timing: map_leader.Timing | None = None,
         slack: Callable[[], float] = lambda: math.inf,
     ) -> None:
         self._name = name
@@ -136,14 +136,14 @@
         self._incarnation = incarnation
         self._engines = dict(engines)
         self._platform = platform
-        self._listed = listed
+        self._list_instances = list_instances
         self._clock = clock
-        self._pace = pace
+        self._timing = timing
         self._reported = 0
         self._key = store_module.Key(kind=leases.KIND, name=f'group-{name}')
         self._transport = PeerTransport(client=client, find=self._find)
         self.leader: map_leader.Leader | None = None
-        self.ranks = map_ranks.Ranks(
+        self.order_handler = map_ranks.OrderHandler(
             group=name,
             engines=engines,
             incarnation=incarnation,
@@ -152,7 +152,7 @@
         )
 
     async def lead(
-        self, *, group: bundle.Group, plans: map_leader.Planner
+        self, *, group: bundle.Group, map_planner: map_leader.Planner
     ) -> None:
         """Lead the group whenever the lease is this agent's."""
         self.leader = map_leader.Leader(
@@ -168,9 +168,9 @@
             transport=self._transport,
             lease=self._make_lease(),
             renew_seconds=RENEW_SECONDS,
-            planner=plans,
+            planner=map_planner,
             clock=self._clock,
-            pace=self._pace or _choose_pace(group),
+            timing=self._timing or _choose_timing(group),
         )
         await self.leader.run()
 
@@ -202,7 +202,7 @@
         if isinstance(decoded.body, map_orders.Count):
             reply = await self._count()
         else:
-            reply = await self.ranks.handle(decoded)
+            reply = await self.order_handler.handle(decoded)
         return peers.MapReply(
             accepted=reply.accepted,
             fence=reply.fence,
@@ -222,7 +222,7 @@
         )
         return map_orders.Reply(
             refusal=map_orders.Refusal.NONE,
-            fence=self.ranks.fence or 0,
+            fence=self.order_handler.fence or 0,
             incarnation=self._incarnation,
             reports=(merged,) if reports else (),
         )
@@ -257,10 +257,14 @@
 
     def agents(self) -> Sequence[str]:
         """Return the names of the agents that carry the group."""
-        return [row.name for row in self._listed() if row.group == self._name]
+        return [
+            row.name
+            for row in self._list_instances()
+            if row.group == self._name
+        ]
 
     def _find(self, name: str) -> store_module.Instance | None:
-        for row in self._listed():
+        for row in self._list_instances():
             if row.name == name:
                 return row
         return None
@@ -268,7 +272,7 @@
     def _may_contend(self) -> bool:
         staying = [
             row.name
-            for row in self._listed()
+            for row in self._list_instances()
             if row.group == self._name and not row.leaving
         ]
         return self._instance in rendezvous.choose(
@@ -288,10 +292,12 @@
         return await map_fences.read(platform=self._platform, key=self._key)
 
 
-def _choose_pace(group: bundle.Group) -> map_leader.Pace:
+def _choose_timing(group: bundle.Group) -> map_leader.Timing:
     """Return how often the leader looks at its group.
 
     Each look asks every agent; four in an interval keep the plan in time.
     """
     poll = min(MOST_POLL_SECONDS, group.interval_seconds / LOOKS_AN_INTERVAL)
-    return map_leader.Pace(poll=poll, contend=CONTEND_SECONDS)
+    return map_leader.Timing(
+        poll_seconds=poll, contend_seconds=CONTEND_SECONDS
+    )
--- a/marigoldramp_measure/decisions.py
+++ b/marigoldramp_measure/decisions.py
@@ -194,6 +194,6 @@
             )
             for layer, row in zip(layers, popular)
         ],
-        gain_a_copy=GAIN,
-        most_moves=int(expert_planner.MAX_MOVES_PER_RANK * shape.ranks),
+        min_gain_per_copy=GAIN,
+        max_moves=int(expert_planner.MAX_MOVES_PER_RANK * shape.ranks),
     ).improve()
--- a/marigoldramp_standins/group.py
+++ b/marigoldramp_standins/group.py
@@ -214,7 +214,7 @@
         old = None
         if rank.schedule is not None:
             old = rank.maps[rank.schedule.in_force]
-        loads = expert_maps.count_loads(old=old, new=expert_map)
+        loads = expert_maps.count_weight_loads(old=old, new=expert_map)
         return loads[rank.number] * self._group.load_seconds
 
     async def hold(
--- a/marigoldramp_standins/group_network.py
+++ b/marigoldramp_standins/group_network.py
@@ -14,7 +14,7 @@
 
 from marigoldramp import expert_maps
 from marigoldramp import leases
-from marigoldramp import map_conversation
+from marigoldramp import map_client
 from marigoldramp import map_fences
 from marigoldramp import map_leader
 from marigoldramp import map_orders
@@ -82,7 +82,7 @@
         self,
         *,
         expert_map: expert_maps.ExpertMap,
-        conversation: map_conversation.Conversation,
+        client: map_client.GroupClient,
     ) -> map_leader.Plan | None:
         """Return the next turn, while the test wants changes."""
         if not self._network.planning:
@@ -92,7 +92,7 @@
             layers=layers, load_limit=5.0, stall_seconds=0.05
         )
 
-    def ended(self, *, plan: map_leader.Plan, done: bool) -> None:
+    def record_outcome(self, *, plan: map_leader.Plan, done: bool) -> None:
         """Count the changes that took place."""
         self._network.changes += done
 
@@ -144,7 +144,7 @@
         self.faulty_agent: str | None = None
         self._order_faults: dict[str, Fault] = {}
         self._watchers: list[tuple[steps.Step, Callable[[str], object]]] = []
-        self.agents: dict[str, map_ranks.Ranks | None] = {}
+        self.agents: dict[str, map_ranks.OrderHandler | None] = {}
         self.leaders: dict[str, asyncio.Task[None] | None] = {}
         self.running: dict[str, map_leader.Leader] = {}
         self.shape = expert_maps.Shape(
@@ -199,7 +199,7 @@
                 read_fence=self._read_fence,
             )
 
-        self.agents[agent] = map_ranks.Ranks(
+        self.agents[agent] = map_ranks.OrderHandler(
             group=GROUP,
             engines={
                 rank: self._engines[rank] for rank in self._shares[agent]
@@ -244,7 +244,9 @@
             renew_seconds=LEASE_SECONDS / 3,
             planner=Turning(network=self),
             clock=lambda: self.now,
-            pace=map_leader.Pace(poll=0.25, retry=0.25, lead_steps=3),
+            timing=map_leader.Timing(
+                poll_seconds=0.25, retry_seconds=0.25, lead_steps=3
+            ),
             sleep=self._make_sleep(name),
         )
         self.running[name] = leader
@@ -389,7 +391,7 @@
         self.pump()
 
     async def _handle(
-        self, ranks: map_ranks.Ranks, envelope: Envelope
+        self, ranks: map_ranks.OrderHandler, envelope: Envelope
     ) -> None:
         envelope.reply = await ranks.handle(envelope.order)
 
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -26,8 +26,8 @@
     return virtual_time.make_backend()
 
 
-class Talk:
-    """Stands for the leader's conversation."""
+class FakeClient:
+    """Stands in for the client of the agents of a group."""
 
     def __init__(self, names):
         self.names = names
@@ -77,7 +77,7 @@
         count(group, weights)
         plan = (
             await planner.plan(
-                expert_map=current, conversation=Talk(group.names())
+                expert_map=current, client=FakeClient(group.names())
             )
             or plan
         )
@@ -147,7 +147,7 @@
         while True:
             plan = await planner.plan(
                 expert_map=rank_transport.initial_map(shape=SHAPE),
-                conversation=Talk(group.names()),
+                client=FakeClient(group.names()),
             )
             if plan is not None:
                 found.append(virtual_time.now())
@@ -225,9 +225,9 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
-        talk = Talk(group.names())
+        client = FakeClient(group.names())
         first = rank_transport.initial_map(shape=SHAPE)
-        await planner.plan(expert_map=first, conversation=talk)
+        await planner.plan(expert_map=first, client=client)
         # Of one rank's experts, which the plan before took for even.
         weights[0] = seen_since
         plan = None
@@ -239,7 +239,7 @@
                 lambda self, window, signs, find_skew: False,
             )
             while plan is None and virtual_time.now() < until:
-                plan = await planner.plan(expert_map=first, conversation=talk)
+                plan = await planner.plan(expert_map=first, client=client)
         tasks.cancel_scope.cancel()
     assert (plan is not None) is changes
 
@@ -297,7 +297,7 @@
         began = virtual_time.now()
         plan = await planner.plan(
             expert_map=rank_transport.initial_map(shape=SHAPE),
-            conversation=Talk(group.names()),
+            client=FakeClient(group.names()),
         )
         tasks.cancel_scope.cancel()
     assert plan is not None
@@ -319,7 +319,7 @@
     began = virtual_time.now()
     plan = await planner.plan(
         expert_map=rank_transport.initial_map(shape=SHAPE),
-        conversation=Talk(group.names()),
+        client=FakeClient(group.names()),
     )
     assert (plan is not None) is bool(turned)
     assert (virtual_time.now() == began) is bool(turned)
@@ -442,7 +442,7 @@
         await anyio.sleep(expert_planner.SAMPLE_SECONDS)
         count(group, EVEN)
         plan = await planner.plan(
-            expert_map=current, conversation=Talk(group.names())
+            expert_map=current, client=FakeClient(group.names())
         )
         if plan is not None:
             break
@@ -473,7 +473,7 @@
                 counts[number] += weight
         plan = await planner.plan(
             expert_map=rank_transport.initial_map(shape=shape),
-            conversation=Talk(group.names()),
+            client=FakeClient(group.names()),
         )
         if plan is not None:
             break
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -11,7 +11,7 @@
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import leader_election
 from marigoldramp.gateway import pass_times
-from marigoldramp import map_recovery
+from marigoldramp import map_decisions
 from marigoldramp import store
 
 from . import fake_ranks
@@ -181,7 +181,7 @@
             alone._table.put(records[name])
         await anyio.sleep(3.0)
         leader = next(iter(alone._offices.values())).leader
-        assert isinstance(leader.decision, map_recovery.Settled)
+        assert isinstance(leader.decision, map_decisions.Settled)
         tasks.cancel_scope.cancel()
 
 
@@ -301,7 +301,7 @@
             rank.cut = True
         office = next(iter(fleet.entries[first]._offices.values()))
         fleet.entries[first]._api = cut
-        office.leader.conversation._transport._api = cut
+        office.leader.client._transport._api = cut
         await anyio.sleep(14.0)
         assert fleet.leaders() not in ([], [first])
         tasks.cancel_scope.cancel()
@@ -333,7 +333,7 @@
         assert 'again-1' in members
         assert 'rank-1' not in members
         leader = fleet.entries['a']._offices['g'].leader
-        assert isinstance(leader.decision, map_recovery.Settled)
+        assert isinstance(leader.decision, map_decisions.Settled)
         tasks.cancel_scope.cancel()
 
 
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -12,13 +12,15 @@
 from marigoldramp import leases
 from marigoldramp import map_changes
 from marigoldramp import map_leader
-from marigoldramp import map_settling
+from marigoldramp import map_reconciliation
 
 from . import fake_ranks
 
 pytestmark = pytest.mark.anyio
 SHAPE = expert_maps.Shape(ranks=4, experts=8, layers=2, slots=3)
-PACE = map_settling.Pace(poll=0.5, retry=0.15, contend=0.5, lead_steps=8)
+TIMING = map_reconciliation.Timing(
+    poll_seconds=0.5, retry_seconds=0.15, contend_seconds=0.5, lead_steps=8
+)
 
 
 @pytest.fixture
@@ -73,7 +75,7 @@
         self.done = 0
         self.wanted = 0
 
-    async def plan(self, *, expert_map, conversation):
+    async def plan(self, *, expert_map, client):
         self.wanted += 1
         turn = self.wanted % SHAPE.ranks
         layers = tuple(
@@ -89,7 +91,7 @@
             layers=layers, load_limit=4.0, load_seconds=self.load_seconds
         )
 
-    def ended(self, *, plan, done):
+    def record_outcome(self, *, plan, done):
         self.done += done
 
 
@@ -113,7 +115,7 @@
         renew_seconds=1.0,
         planner=planner,
         clock=virtual_time.now,
-        pace=PACE,
+        timing=TIMING,
         fenced=group.checks_token,
     )
     return leader, planner
@@ -504,7 +506,7 @@
 
 @pytest.mark.parametrize('load_seconds', [None, 0.12])
 @pytest.mark.parametrize(
-    ('fence', 'other'), [(1, 5), (2, 6), (1, leases.FENCES_AN_ERA + 1)]
+    ('fence', 'other'), [(1, 5), (2, 6), (1, leases.FENCES_PER_ERA + 1)]
 )
 async def test_leaders_that_hold_one_rank_hold_other_steps(
     fence, other, load_seconds
--- a/tests/map_model.py
+++ b/tests/map_model.py
@@ -16,9 +16,9 @@
 from typing import NamedTuple
 
 from marigoldramp import expert_maps
-from marigoldramp import map_completion
+from marigoldramp import map_decisions
+from marigoldramp import map_decisions_unfenced
 from marigoldramp import map_orders
-from marigoldramp import map_recovery
 
 #: Versions are numbered by ten for each fence.
 A_FENCE = 10
@@ -570,17 +570,21 @@
             _read(rank, one, state.step, leader.dropped[rank])
             for rank, one in enumerate(view)
         ]
-        decide = map_recovery.decide if self.fenced else map_completion.decide
+        decide = (
+            map_decisions.decide
+            if self.fenced
+            else map_decisions_unfenced.decide
+        )
         found = decide(states=states, ranks=self.ranks)
         holders = tuple(
             (rank, one.held) for rank, one in enumerate(view) if one.held
         )
         match found:
-            case map_recovery.Settled() if leader.changes < self.changes:
+            case map_decisions.Settled() if leader.changes < self.changes:
                 return self._prepare(state, number, leader)
-            case map_recovery.Undo():
+            case map_decisions.Undo():
                 return self._undo(state, number, leader)
-            case map_recovery.Release(unarmed=True) if self.without != 'void':
+            case map_decisions.Release(unarmed=True) if self.without != 'void':
                 return self._order(
                     state,
                     number,
@@ -592,11 +596,13 @@
                     ],
                     ('sealed', holders),
                 )
-            case map_recovery.Release():
+            case map_decisions.Release():
                 return self._release(state, number, leader, holders)
-            case map_completion.Complete() if self.without == 'complete':
+            case map_decisions_unfenced.Complete() if (
+                self.without == 'complete'
+            ):
                 return self._disarm(state, number, leader, found.version)
-            case map_completion.Complete():
+            case map_decisions_unfenced.Complete():
                 version, step = _number(found.version), found.from_step
                 return self._order(
                     state,
@@ -608,11 +614,11 @@
                     ],
                     ('complete',),
                 )
-            case map_completion.Abandon():
+            case map_decisions_unfenced.Abandon():
                 return self._disarm(state, number, leader, found.version)
-            case map_completion.Seal() if self.without == 'seal':
+            case map_decisions_unfenced.Seal() if self.without == 'seal':
                 return self._release(state, number, leader, holders)
-            case map_completion.Seal():
+            case map_decisions_unfenced.Seal():
                 return self._seal(
                     state,
                     number,
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -9,7 +9,7 @@
 
 from marigoldramp import agent as agent_module
 from marigoldramp import alarms
-from marigoldramp import map_conversation
+from marigoldramp import map_client
 from marigoldramp import outcomes
 from marigoldramp import peers
 from marigoldramp import runtime
@@ -183,15 +183,15 @@
 
 
 @pytest.mark.parametrize(
-    'trouble, shown',
+    'failure, shown',
     [
         (None, False),
-        (map_conversation.Trouble.DEPOSED, False),
-        (map_conversation.Trouble.UNREACHED, True),
-        (map_conversation.Trouble.REFUSED, True),
+        (map_client.Failure.DEPOSED, False),
+        (map_client.Failure.UNREACHED, True),
+        (map_client.Failure.REFUSED, True),
     ],
 )
-async def test_alarms_of_a_rank_group(tmp_path, monkeypatch, trouble, shown):
+async def test_alarms_of_a_rank_group(tmp_path, monkeypatch, failure, shown):
     """Symptom: a group stands still or is slow and nobody is told.
 
     Sequence: its leader cannot settle it; a rank is slow for no reason of
@@ -201,7 +201,7 @@
     async with runtime_site.run(tmp_path, 'entry-1', 'agent-1') as site:
         agent = site.nodes['agent-1']
         slow = stragglers.Straggler(rank=3, slowdown=1.4, load=1.0)
-        leader = types.SimpleNamespace(trouble=trouble)
+        leader = types.SimpleNamespace(failure=failure)
         program = agent.process.program
         monkeypatch.setattr(
             program, 'rank_group', types.SimpleNamespace(leader=leader)
--- a/tests/test_expert_maps.py
+++ b/tests/test_expert_maps.py
@@ -50,8 +50,8 @@
 def test_loads_count_what_is_new():
     old = expert_maps.ExpertMap(version=VERSION, layers=(((0, 1), (2, 3)),))
     new = expert_maps.ExpertMap(version=VERSION, layers=(((0, 2), (1, 3)),))
-    assert expert_maps.count_loads(old=old, new=new) == [1, 1]
-    assert expert_maps.count_loads(old=None, new=new) == [2, 2]
+    assert expert_maps.count_weight_loads(old=old, new=new) == [1, 1]
+    assert expert_maps.count_weight_loads(old=None, new=new) == [2, 2]
 
 
 @pytest.mark.parametrize(('step', 'number'), [(4, 1), (5, 2), (6, 2)])
--- a/tests/test_layer_moves.py
+++ b/tests/test_layer_moves.py
@@ -53,7 +53,9 @@
     old = expert_maps.ExpertMap(
         version=expert_maps.Version(fence=0, number=0), layers=(layer,)
     )
-    assert sum(expert_maps.count_loads(old=old, new=expert_map)) <= loads
+    assert (
+        sum(expert_maps.count_weight_loads(old=old, new=expert_map)) <= loads
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_map_leader.py
+++ b/tests/test_map_leader.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from marigoldramp import map_conversation
-from marigoldramp import map_recovery
+from marigoldramp import map_client
+from marigoldramp import map_decisions
 from marigoldramp import steps
 from marigoldramp_standins import group
 from marigoldramp_standins import group_network
@@ -294,7 +294,7 @@
     network.watch(steps.Step.MAP_ARMED, lambda _: network.group.kill(2))
     network.run_fairly(rounds=60)
     decisions = [one.decision for one in network.running.values()]
-    assert map_recovery.Missing(ranks=(2,)) in decisions
+    assert map_decisions.Missing(ranks=(2,)) in decisions
     assert network.group.mixed_steps == []
 
 
@@ -303,7 +303,7 @@
     network.run_fairly(rounds=10)
     network.stop_agent('agent-1')
     network.run_fairly(rounds=10)
-    troubles = [one.trouble for one in network.running.values()]
-    assert map_conversation.Trouble.UNREACHED in troubles
+    troubles = [one.failure for one in network.running.values()]
+    assert map_client.Failure.UNREACHED in troubles
     network.start_agent('agent-1')
     finish(network)
--- a/tests/test_map_moves.py
+++ b/tests/test_map_moves.py
@@ -54,8 +54,8 @@
 async def improve_with(layers, popular, copies_left, gain=GAIN):
     return await map_moves.MapSearch(
         searches=begin(layers, popular, copies_left),
-        gain_a_copy=gain,
-        most_moves=100,
+        min_gain_per_copy=gain,
+        max_moves=100,
     ).improve()
 
 
--- a/tests/test_map_ranks.py
+++ b/tests/test_map_ranks.py
@@ -24,7 +24,7 @@
     async def learn():
         return fence
 
-    ranks = map_ranks.Ranks(
+    ranks = map_ranks.OrderHandler(
         group='drafts',
         engines=stand_in.engines(),
         incarnation=7,
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -4,7 +4,7 @@
 
 from marigoldramp import bundle
 from marigoldramp import expert_maps
-from marigoldramp import map_conversation
+from marigoldramp import map_client
 from marigoldramp import map_orders
 from marigoldramp import placement
 from marigoldramp import planner
@@ -62,16 +62,16 @@
 
 
 async def ask(plans, slack=10.0):
-    talk = map_conversation.Conversation(
+    client = map_client.GroupClient(
         group='g', leader='l', fence=1, agents=tuple, transport=None
     )
-    talk.replies['agent'] = map_orders.Reply(
+    client.replies['agent'] = map_orders.Reply(
         refusal=map_orders.Refusal.NONE,
         fence=1,
         incarnation=1,
         slack=slack,
     )
-    return await plans.plan(expert_map=FIRST, conversation=talk)
+    return await plans.plan(expert_map=FIRST, client=client)
 
 
 async def test_plans_once_an_interval():
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -22,7 +22,9 @@
 
 pytestmark = pytest.mark.anyio
 
-PACE = map_leader.Pace(poll=0.001, retry=0.001, contend=0.001)
+TIMING = map_leader.Timing(
+    poll_seconds=0.001, retry_seconds=0.001, contend_seconds=0.001
+)
 GROUP = bundle.Group(
     name='g', service='drafts', ranks=4, experts=8, layers=2, slots=2
 )
@@ -47,7 +49,7 @@
     def __init__(self):
         self.done = None
 
-    async def plan(self, *, expert_map, conversation):
+    async def plan(self, *, expert_map, client):
         if self.done is not None:
             return None
         layers = tuple(
@@ -55,7 +57,7 @@
         )
         return map_leader.Plan(layers=layers, load_limit=5.0)
 
-    def ended(self, *, plan, done):
+    def record_outcome(self, *, plan, done):
         self.done = done
 
 
@@ -87,9 +89,9 @@
         },
         platform=platform,
         client=client,
-        listed=lambda: rows,
+        list_instances=lambda: rows,
         clock=time.monotonic,
-        pace=PACE,
+        timing=TIMING,
     )
     client.groups[name] = made
     return made
@@ -119,7 +121,7 @@
                 made = make_group(name, client, platform, port)
 
                 async def lead(made=made):
-                    await made.lead(group=GROUP, plans=planner)
+                    await made.lead(group=GROUP, map_planner=planner)
 
                 tasks.start_soon(lead)
             await until(lambda: planner.done is not None)
@@ -159,7 +161,7 @@
                 for one in made:
 
                     async def lead(one=one):
-                        await one.lead(group=GROUP, plans=planner)
+                        await one.lead(group=GROUP, map_planner=planner)
 
                     tasks.start_soon(lead)
             with anyio.fail_after(20):
