--- a/marigoldramp/gateway/demand_watch.py
+++ b/marigoldramp/gateway/demand_watch.py
@@ -15,7 +15,7 @@
 from .. import logs
 from . import endpoints
 from . import expert_demand
-from . import passes as pass_times
+from . import pass_times
 from . import ranks
 
 #: Time after a shift for which counts are collected before the first plan.
@@ -155,7 +155,7 @@
         await self._read_ranks(names)
         await anyio.sleep(MEASURE_WINDOW_SECONDS)
         window = await self._read_ranks(names)
-        self._passes.accept()
+        self._passes.reset_baseline()
         if not self._shows_shift(
             window, self._sampled_thresholds, compute_skew
         ):
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -18,13 +18,13 @@
 from .. import layer_moves
 from .. import logs
 from .. import map_changes
-from .. import map_conversation
+from .. import map_client
 from .. import map_moves
 from .. import placement
 from . import demand_watch
 from . import endpoints
 from . import expert_demand
-from . import passes as pass_times
+from . import pass_times
 from . import ranks
 
 #: Time after which a plan attempt ends, so that the leader checks the group.
@@ -160,7 +160,7 @@
         self,
         *,
         expert_map: expert_maps.ExpertMap,
-        conversation: map_conversation.Conversation,
+        client: map_client.GroupClient,
     ) -> map_changes.Plan | None:
         """Monitor demand for a while; return the change to make, if any."""
         until = self._clock() + MAX_PLAN_SECONDS
@@ -170,7 +170,7 @@
 
         while True:
             utilization = self._utilization()
-            names = self._choose_sampled_ranks(conversation, utilization)
+            names = self._choose_sampled_ranks(client, utilization)
             if self._has_new_slow_ranks():
                 return await self._search_map(expert_map)
             interval = self._choose_read_interval(utilization)
@@ -199,17 +199,17 @@
                 return None
             await anyio.sleep(PASS_CHECK_INTERVAL_SECONDS)
 
-    def ended(self, *, plan: map_changes.Plan, done: bool) -> None:
+    def record_outcome(self, *, plan: map_changes.Plan, done: bool) -> None:
         """Log whether a change was completed."""
         logging.info('map change ended', extra=logs.fields(done=done))
 
     def _choose_sampled_ranks(
-        self, conversation: map_conversation.Conversation, utilization: float
+        self, client: map_client.GroupClient, utilization: float
     ) -> list[str]:
         """Return the ranks to sample; the first ones are monitored."""
         # Slow ranks get no requests, so their counts do not change.
-        slow = {conversation.find_agent(rank) for rank in self._slow_ranks()}
-        names = sorted(conversation.members())
+        slow = {client.find_agent(rank) for rank in self._slow_ranks()}
+        names = sorted(client.members())
         known = [name for name in names if name not in slow] or names
         slots = _interpolate(
             utilization,
@@ -314,8 +314,8 @@
         ]
         new = await map_moves.MapSearch(
             searches=self._create_searches(expert_map, popularities, slow),
-            gain_a_copy=self._choose_min_gain_per_copy(utilization),
-            most_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
+            min_gain_per_copy=self._choose_min_gain_per_copy(utilization),
+            max_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
         ).improve()
         before = mean_skew(expert_map.layers, popularities, slow)
         after = mean_skew(new, popularities, slow)
--- a/marigoldramp/gateway/group_members.py
+++ b/marigoldramp/gateway/group_members.py
@@ -67,7 +67,7 @@
         Asking all endpoints at each change, while they start one after the
         other, would be half of all requests to a large group in a day.
         """
-        known = self._drop_replaced(self._table.of_service(service))
+        known = self._drop_replaced(self._table.list_for_service(service))
         names = {endpoint.identity for endpoint in known}
         members = self._members.setdefault(service, {})
         gone = set(members) - names
--- a/marigoldramp/gateway/leader_election.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -2,10 +2,11 @@
 
 A leader holds a lease in the store, whose fencing number makes ranks refuse an
 older leader; for ranks that check no number, see
-:mod:`marigoldramp.map_completion`.  Contending for a lease costs store calls,
-so only one instance contends: the first in an order on which all agree, among
-those that are heard and eligible, and only while no instance reports that it
-leads.  Where instances disagree about which one that is, the lease decides.
+:mod:`marigoldramp.map_decisions_unfenced`.  Contending for a lease costs store
+calls, so only one instance contends: the first in an order on which all agree,
+among those that are heard and eligible, and only while no instance reports
+that it leads.  Where instances disagree about which one that is, the lease
+decides.
 """
 
 from typing import Callable
@@ -18,9 +19,9 @@
 from .. import expert_maps
 from .. import leases
 from .. import logs
-from .. import map_conversation
+from .. import map_client
 from .. import map_leader
-from .. import map_settling
+from .. import map_reconciliation
 from .. import rendezvous
 from .. import store as store_module
 from . import deployment
@@ -28,7 +29,7 @@
 from . import expert_planner
 from . import group_lease
 from . import group_members
-from . import passes as pass_times
+from . import pass_times
 from . import rank_transport
 from . import ranks
 
@@ -45,12 +46,12 @@
 #: instance try, and for which it does not contend itself.
 MAX_UNREACHED_SECONDS = 3.0
 INELIGIBLE_SECONDS = 10.0
-#: Timing of a leader, see :class:`.map_settling.Pace`; its planner waits in
-#: addition.
-PACE = map_settling.Pace(
-    poll=0.1,
-    retry=0.15,
-    contend=0.5,
+#: Timing of a leader, see :class:`.map_reconciliation.Timing`; its planner
+#: waits in addition.
+TIMING = map_reconciliation.Timing(
+    poll_seconds=0.1,
+    retry_seconds=0.15,
+    contend_seconds=0.5,
     lead_steps=8,
 )
 
@@ -185,8 +186,7 @@
             name
             for name, candidacy in self._candidacies.items()
             if candidacy.lease.held()
-            and candidacy.leader.trouble
-            is not map_conversation.Trouble.DEPOSED
+            and candidacy.leader.failure is not map_client.Failure.DEPOSED
         )
 
     async def run(self) -> None:
@@ -254,8 +254,8 @@
             if not held and (name in elsewhere or not self.eligible):
                 candidacy.scope.cancel()
                 continue
-            trouble = candidacy.leader.trouble
-            if trouble is not map_conversation.Trouble.UNREACHED:
+            failure = candidacy.leader.failure
+            if failure is not map_client.Failure.UNREACHED:
                 candidacy.unreached_since = float('inf')
                 continue
             candidacy.unreached_since = min(candidacy.unreached_since, now)
@@ -319,7 +319,7 @@
                 clock=self._clock,
             ),
             clock=self._clock,
-            pace=PACE,
+            timing=TIMING,
             fenced=fenced,
         )
         candidacy = _Candidacy(group=group, leader=leader, lease=lease)
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -60,7 +60,7 @@
         self,
         *,
         configuration: configurations.ActiveConfiguration,
-        follower: discovery.Follower,
+        follower: discovery.EndpointFollower,
         describe: Callable[[], status_module.Status],
         list_suspects: Callable[[], suspect_exchange.SuspectList],
         release: Callable[[str], bool],
@@ -79,7 +79,7 @@
         if path == CONFIGURATION_PATH and self._configuration.document:
             body = self._configuration.document
         elif path == ENDPOINTS_PATH and self._follower.listed:
-            listing = self._follower.listing()
+            listing = self._follower.make_listing()
             body = msgspec.json.encode(
                 EndpointList(
                     newest=listing.newest,
@@ -174,8 +174,8 @@
 
 async def fetch(*, address: outbound.Address, path: str) -> bytes | None:
     """Return a page of a peer, ``None`` if it could not be had."""
-    reply = await outbound.exchange(
-        pool=outbound.Pool(most_idle=0),
+    reply = await outbound.send_request(
+        pool=outbound.Pool(max_idle=0),
         address=address,
         identity='',
         method=b'GET',
@@ -209,8 +209,8 @@
 
     :returns: ``None`` if the entry could not be asked.
     """
-    reply = await outbound.exchange(
-        pool=outbound.Pool(most_idle=0),
+    reply = await outbound.send_request(
+        pool=outbound.Pool(max_idle=0),
         address=address,
         identity='',
         method=b'POST',
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -87,7 +87,7 @@
 
 
 class RankTransport:
-    """Sends orders to ranks, see :class:`.map_conversation.Transport`.
+    """Sends orders to ranks, see :class:`.map_client.Transport`.
 
     :param find_endpoint: returns the endpoint with a name.
     :param fenced: whether ranks refuse a lower token than they have seen.
@@ -156,7 +156,7 @@
         return {
             report.rank: report.pace
             for report in reports
-            if report is not None and report.pace >= quality.SLOW_PACE
+            if report is not None and report.pace >= quality.MIN_SLOW_PACE
         }
 
     def _locate(self, name: str, view: _RankView) -> endpoints.Endpoint | None:
--- a/marigoldramp/gateway/suspect_keeper.py
+++ b/marigoldramp/gateway/suspect_storage.py
@@ -14,7 +14,7 @@
 
 from .. import logs
 from .. import store as store_module
-from . import contacts
+from . import dependency_health
 from . import suspects
 
 KIND = 'marigoldramp-suspects'
@@ -37,7 +37,7 @@
     starts: tuple[int, ...]
 
 
-class SuspectKeeper:
+class SuspectStorage:
     """Reads blocked requests from the store and writes them.
 
     :param position: returns our place among the entries that hear each other,
@@ -85,7 +85,9 @@
 
     async def _pause(self) -> None:
         await anyio.sleep(
-            contacts.stretch_pause(RETRY_AFTER, position=self._position())
+            dependency_health.scale_retry_delay(
+                RETRY_AFTER, position=self._position()
+            )
         )
 
     async def _keep(self) -> bool:
@@ -133,8 +135,8 @@
                 ),
             )
             return
-        self._known.take(
-            suspects.Suspicion(
+        self._known.merge(
+            suspects.SuspectRecord(
                 fingerprint=stored.key.name,
                 ends=tuple(
                     suspects.EndAge(start=start, age=0.0)
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -9,7 +9,7 @@
 from marigoldramp import expert_maps
 from marigoldramp.gateway import demand_watch
 from marigoldramp.gateway import expert_planner
-from marigoldramp.gateway import passes
+from marigoldramp.gateway import pass_times
 from marigoldramp.gateway import rank_transport
 from marigoldramp.gateway import ranks
 from marigoldramp import layer_moves
@@ -26,8 +26,8 @@
     return virtual_time.make_backend()
 
 
-class FakeConversation:
-    """Stands for the leader's conversation with its ranks."""
+class FakeClient:
+    """Stands in for the leader's client of its ranks."""
 
     def __init__(self, names):
         self.names = names
@@ -53,7 +53,7 @@
         slots=6,
         find_endpoint=group.find,
         utilization=lambda: utilization,
-        passes=passes.PassTimes(clock=virtual_time.now),
+        passes=pass_times.PassTimes(clock=virtual_time.now),
         slow_ranks=lambda: {} if slow is None else slow,
         clock=virtual_time.now,
         **more,
@@ -78,7 +78,7 @@
         plan = (
             await planner.plan(
                 expert_map=current,
-                conversation=FakeConversation(group.names()),
+                client=FakeClient(group.names()),
             )
             or plan
         )
@@ -149,7 +149,7 @@
         while True:
             plan = await planner.plan(
                 expert_map=rank_transport.initial_map(shape=SHAPE),
-                conversation=FakeConversation(group.names()),
+                client=FakeClient(group.names()),
             )
             if plan is not None:
                 found.append(virtual_time.now())
@@ -228,9 +228,9 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
-        conversation = FakeConversation(group.names())
+        client = FakeClient(group.names())
         first = rank_transport.initial_map(shape=SHAPE)
-        await planner.plan(expert_map=first, conversation=conversation)
+        await planner.plan(expert_map=first, client=client)
         # Demand for an expert that the first plan took for even.
         weights[0] = seen_since
         plan = None
@@ -242,9 +242,7 @@
                 lambda self, window, thresholds, compute_skew: False,
             )
             while plan is None and virtual_time.now() < until:
-                plan = await planner.plan(
-                    expert_map=first, conversation=conversation
-                )
+                plan = await planner.plan(expert_map=first, client=client)
         tasks.cancel_scope.cancel()
     assert (plan is not None) is changes
 
@@ -302,7 +300,7 @@
         began = virtual_time.now()
         plan = await planner.plan(
             expert_map=rank_transport.initial_map(shape=SHAPE),
-            conversation=FakeConversation(group.names()),
+            client=FakeClient(group.names()),
         )
         tasks.cancel_scope.cancel()
     assert plan is not None
@@ -323,7 +321,7 @@
     began = virtual_time.now()
     plan = await planner.plan(
         expert_map=rank_transport.initial_map(shape=SHAPE),
-        conversation=FakeConversation(group.names()),
+        client=FakeClient(group.names()),
     )
     assert (plan is not None) is bool(newly_slow)
     assert (virtual_time.now() == began) is bool(newly_slow)
@@ -448,7 +446,7 @@
         await anyio.sleep(expert_planner.MAX_PLAN_SECONDS)
         count(group, EVEN)
         plan = await planner.plan(
-            expert_map=current, conversation=FakeConversation(group.names())
+            expert_map=current, client=FakeClient(group.names())
         )
         if plan is not None:
             break
@@ -478,7 +476,7 @@
                 counts[number] += weight
         plan = await planner.plan(
             expert_map=rank_transport.initial_map(shape=shape),
-            conversation=FakeConversation(group.names()),
+            client=FakeClient(group.names()),
         )
         if plan is not None:
             break
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -10,8 +10,8 @@
 from marigoldramp.gateway import deployment
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import leader_election
-from marigoldramp.gateway import passes
-from marigoldramp import map_recovery
+from marigoldramp.gateway import pass_times
+from marigoldramp import map_decisions
 from marigoldramp import store
 
 from . import fake_ranks
@@ -111,7 +111,9 @@
             ),
             is_gone=lambda other: other in self.silent,
             pause_share=lambda service: 0.0,
-            passes=lambda service: passes.PassTimes(clock=virtual_time.now),
+            passes=lambda service: pass_times.PassTimes(
+                clock=virtual_time.now
+            ),
             concurrency_limit=lambda service, slots: slots,
             api=self.group,
             store=InstanceStore(fleet=self, name=name),
@@ -181,7 +183,7 @@
             alone._table.put(records[name])
         await anyio.sleep(3.0)
         leader = next(iter(alone._candidacies.values())).leader
-        assert isinstance(leader.decision, map_recovery.Settled)
+        assert isinstance(leader.decision, map_decisions.Settled)
         tasks.cancel_scope.cancel()
 
 
@@ -301,7 +303,7 @@
             rank.unreachable = True
         candidacy = next(iter(fleet.instances[first]._candidacies.values()))
         fleet.instances[first]._api = unreachable
-        candidacy.leader.conversation._transport._api = unreachable
+        candidacy.leader.client._transport._api = unreachable
         await anyio.sleep(14.0)
         assert fleet.leaders() not in ([], [first])
         tasks.cancel_scope.cancel()
@@ -332,7 +334,7 @@
         assert 'again-1' in members
         assert 'rank-1' not in members
         leader = fleet.instances['a']._candidacies['g'].leader
-        assert isinstance(leader.decision, map_recovery.Settled)
+        assert isinstance(leader.decision, map_decisions.Settled)
         tasks.cancel_scope.cancel()
 
 
