--- a/marigoldramp/gateway/demand_watch.py
+++ b/marigoldramp/gateway/demand_watch.py
@@ -173,7 +173,7 @@
         thresholds: expert_demand.ShiftThresholds,
         compute_skew: SkewFunction,
     ) -> bool:
-        """Return whether a window differs from the last by more than noise."""
+        """Return whether a window differs from the estimate beyond noise."""
         if window is None or not self.demand.has_counts():
             return False
         distance = self.demand.compute_distance(window)
--- a/marigoldramp/gateway/leader_election.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -220,7 +220,7 @@
         is_first = self._is_first(service)
         if is_first or self._leads_in(service):
             # A leader also has to learn of new and removed endpoints, even
-            # when another instance is the designated one by now.
+            # when another instance is the first by now.
             await self._groups.refresh(service)
         if not is_first:
             return
@@ -232,7 +232,7 @@
                 self._start_candidacy(group, engine, tasks)
 
     def _is_first(self, service: str) -> bool:
-        """Return whether this instance is the one to contend."""
+        """Return whether this instance is the first, which contends."""
         if not self.eligible or self._has_stronger_peer():
             return False
         names = {self._instance, *self._eligible_peers()}
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -154,12 +154,12 @@
 
 
 async def test_leader_learns_of_ranks_that_register_later():
-    """A leader learns of new ranks even when another instance is designated.
+    """A leader learns of new ranks though another instance is the first now.
 
     An instance becomes leader while few ranks are registered and few
-    instances are heard; then the others come.  If only the designated
-    instance refreshes the group, no map is ever changed and no other instance
-    takes the lead.
+    instances are heard; then the others come, one of which is first in the
+    order.  If only the first instance refreshes the group, no map is ever
+    changed and no other instance takes the lead.
     """
     fleet = Fleet()
     ranks = list(fleet.group.names())
@@ -342,9 +342,9 @@
 async def test_leader_continues_while_the_store_rejects_it(fenced):
     """A leader continues when the store rejects only its calls.
 
-    Its lease expires, but the others leave the group to it as the designated
-    instance.  If it stops with its lease, an uneven map is kept for six
-    seconds.
+    Its lease expires, but the others leave the group to it as the first of
+    those that may contend.  If it stops with its lease, an uneven map is kept
+    for six seconds.
     """
     fleet = Fleet(fenced=fenced)
     async with anyio.create_task_group() as tasks:
@@ -360,8 +360,8 @@
 async def test_instance_that_the_store_rejects_is_not_eligible():
     """An instance that the store rejects is not eligible.
 
-    If eligibility only depends on reaching the ranks, the others wait for a
-    designated instance that cannot take the lease.
+    The leader ends and the first instance cannot reach the store.  If
+    eligibility only depends on reaching the ranks, the others wait for it.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -150,10 +150,11 @@
 async def test_change_does_not_wait_for_a_settled_report(fenced):
     """A group changes its map as soon as its ranks have copied.
 
-    Before the leader holds a rank it asks for the step that the rank has
-    begun.  An older report is good enough for that, as a hold of a step that
-    has begun is refused and the next step is tried.  Waiting for a report that
-    shows all orders keeps the group uneven for another 0.2 s.
+    Ranks copy for 0.1 s.  Before the leader holds a rank it asks for the step
+    that the rank has begun.  An older report is good enough for that, as a
+    hold of a step that has begun is refused and the next step is tried.
+    Waiting for a report that shows all orders keeps the group uneven for
+    another 0.2 s.
     """
     group = make_group(checks_token=fenced)
     leader, planner = make_leader(
@@ -237,7 +238,7 @@
 
     A leader is interrupted at any moment of a change while orders are lost or
     late.  Another takes over, and the first one continues at the same time as
-    if it still led.
+    if it still led.  Ranks must not obey both, and each hold must be released.
     """
     draw = random.Random(seed)
     group = make_group(checks_token=fenced)
