--- a/marigoldramp/platform/__main__.py
+++ b/marigoldramp/platform/__main__.py
@@ -35,7 +35,7 @@
         configuration=configuration.Source(objects=store),
         endpoint_source=endpoints.Source(objects=store),
         store=store,
-        rank_api=ranks.Ranks(link_rate=settings.link_rate),
+        rank_api=ranks.HttpRankApi(link_rate=settings.link_rate),
         make_pages=pages.make,
         read_settings=functools.partial(settings_file.read, path),
     )
--- a/marigoldramp/platform/configuration.py
+++ b/marigoldramp/platform/configuration.py
@@ -8,7 +8,7 @@
 from . import objects
 
 KEY = store.Key(kind='config', name='main')
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 MEGABYTE = 1_000_000.0
 MEGABIT = 125_000.0
 #: Kinds of routes; a kind that is not known may not be repeated.
@@ -200,8 +200,8 @@
         limits=deployment.Limits(
             head_bytes=found.limits.head_bytes,
             body_bytes=found.limits.body_bytes,
-            head_seconds=found.limits.head_ms / MILLISECONDS,
-            idle_seconds=found.limits.idle_ms / MILLISECONDS,
+            head_seconds=found.limits.head_ms / MILLISECONDS_PER_SECOND,
+            idle_seconds=found.limits.idle_ms / MILLISECONDS_PER_SECOND,
         ),
         customers={
             key: deployment.Customer(
@@ -222,12 +222,12 @@
         targets=_build_targets(route),
         retry_policy=_read_repeat(route),
         attempts=max(1, route.attempts),
-        timeout=route.timeout_ms / MILLISECONDS,
-        objective=route.objective_ms / MILLISECONDS,
+        timeout=route.timeout_ms / MILLISECONDS_PER_SECOND,
+        objective=route.objective_ms / MILLISECONDS_PER_SECOND,
         priority=route.priority,
         public=route.public,
         streams=route.kind == _STREAMING,
-        longest_pause=route.pause_ms / MILLISECONDS,
+        longest_pause=route.pause_ms / MILLISECONDS_PER_SECOND,
     )
 
 
@@ -260,8 +260,8 @@
 def _build_engine(engine: _Engine) -> deployment.Engine:
     return deployment.Engine(
         slots=engine.slots,
-        step=engine.step_ms / MILLISECONDS,
-        step_per_request=engine.per_request_ms / MILLISECONDS,
+        step=engine.step_ms / MILLISECONDS_PER_SECOND,
+        step_per_request=engine.per_request_ms / MILLISECONDS_PER_SECOND,
         prompt_rate=engine.prompt_rate,
         mean_prompt_tokens=int(engine.usual.prompt),
         mean_answer_tokens=int(engine.usual.answer),
--- a/marigoldramp/platform/endpoints.py
+++ b/marigoldramp/platform/endpoints.py
@@ -48,7 +48,7 @@
         self._store = objects
 
     async def list_all(self) -> listings.Listing | store.Unavailable:
-        found = await self._store.list_page_by_page(KIND)
+        found = await self._store.list_all_pages(KIND)
         if isinstance(found, store.Unavailable):
             return found
         return listings.Listing(
@@ -60,9 +60,11 @@
     async def watch(
         self, *, after: int, seconds: float
     ) -> listings.Changes | listings.HistoryGone | store.Unavailable:
-        found = await self._store.follow(KIND, after=after, seconds=seconds)
+        found = await self._store.watch_events(
+            KIND, after=after, seconds=seconds
+        )
         match found:
-            case objects.Gone():
+            case objects.HistoryGone():
                 return listings.HistoryGone()
             case objects.Events():
                 return _read_events(found)
--- a/marigoldramp/platform/eras.py
+++ b/marigoldramp/platform/eras.py
@@ -1,13 +1,13 @@
-"""Keeps apart what the platform's store says before and after a restore.
+"""Tells the platform's store before a restore from backup from that after it.
 
-A store that comes back from a copy gives revisions out again, so a revision
-alone names two states.  Compared by it, what was read before looks newer than
-what is there now, and a write that expects a revision can hit an object that
-has nothing but the number in common with the one that was read.
+A restored store assigns revisions again that it had assigned before, so the
+same revision can stand for two states.  Compared by revision alone, data read
+before the restore can look newer than the current data, and a conditional
+write can succeed on an unrelated object that has the expected revision.
 
-The store counts its restores, and names the count in each answer.  Here that
-count and the revision become one number that only grows, as the rest of the
-product takes the versions of objects to do.
+The store counts its restores and sends the count, its era, with every
+response.  This module combines era and revision into one version that only
+grows, as the rest of the project requires of versions.
 """
 
 import dataclasses
@@ -18,85 +18,91 @@
 from .. import asgi
 from .. import logs
 
-ERA = b'store-era'
-#: Bits of a version that hold the revision.
+ERA_HEADER = b'store-era'
+#: The low bits of a version; the era is above them.
 REVISION_BITS = 40
-_REVISIONS = 1 << REVISION_BITS
-#: Digits that a count can have: versions stay within 63 bits.
-MOST_DIGITS = 6
+_REVISIONS_PER_ERA = 1 << REVISION_BITS
+#: Keeps versions within 63 bits.
+MAX_ERA_DIGITS = 6
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Place:
-    """A revision, and how often the store had been restored by then."""
+class EraRevision:
+    """A revision, and the number of restores before it."""
 
     era: int
     revision: int
 
 
-def join(place: Place) -> int:
-    """Return the version by which the product knows a revision."""
-    return place.era * _REVISIONS + place.revision
+def make_version(position: EraRevision) -> int:
+    """Return the version for an era and a revision."""
+    return position.era * _REVISIONS_PER_ERA + position.revision
 
 
-def split(version: int) -> Place:
-    """Return the revision that a version stands for."""
-    return Place(era=version // _REVISIONS, revision=version % _REVISIONS)
+def split_version(version: int) -> EraRevision:
+    """Return the era and the revision of a version."""
+    return EraRevision(
+        era=version // _REVISIONS_PER_ERA,
+        revision=version % _REVISIONS_PER_ERA,
+    )
 
 
-class Eras:
-    """What is known of the store's restores.
+class EraTracker:
+    """Tracks the store's era and reports restores.
 
-    :ivar current: the newest count that an answer has named, 0 for none yet.
-    :ivar restored_at: when we first heard of it, unless it was the first.
+    :ivar current: the newest known era; 0 before one is known.
+    :ivar restored_at: when a change to it was noticed, by ``clock``; minus
+        infinity if it is the first known era.
     """
 
-    __slots__ = ('_clock', '_named', '_callbacks', 'current', 'restored_at')
+    __slots__ = ('_clock', '_has_era', '_callbacks', 'current', 'restored_at')
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._named = False
+        self._has_era = False
         self._callbacks: list[Callable[[], None]] = []
         self.current = 0
         self.restored_at = float('-inf')
 
     def on_restore(self, callback: Callable[[], None]) -> None:
-        """Call when the store has been restored."""
+        """Register a callback to call whenever a restore is noticed."""
         self._callbacks.append(callback)
 
-    def note(self, headers: asgi.Headers) -> str:
-        """Learn from an answer; return why it is not to be believed.
+    def check_headers(self, headers: asgi.Headers) -> str:
+        """Update the era from a response; return why to reject it, or ''.
 
-        An answer of an older era has been on its way since before the
-        restore.  A store that counts names the count in all answers, so one
-        without it, or with one that cannot be read, is somebody else's.
+        A response of an older era was sent before the restore.  A store that
+        sends its era does so in every response, so one without a valid era is
+        from another server.
         """
-        named = [value for name, value in headers if name.lower() == ERA]
-        if not named and not self._named:
+        values = [
+            value for name, value in headers if name.lower() == ERA_HEADER
+        ]
+        if not values and not self._has_era:
             return ''
-        era = _read(named)
+        era = _parse_era(values)
         if era is None:
-            return self._doubt('it names no count of restores', named)
+            return self._reject('missing or invalid era', values)
         if era < self.current:
-            return self._doubt('the store was restored since', named)
-        if era > self.current or not self._named:
-            self._enter(era)
+            return self._reject('store restored since', values)
+        if era > self.current or not self._has_era:
+            self._set_era(era)
         return ''
 
-    def hear(self, era: int) -> None:
-        """Learn from another process, which has had an answer.
+    def observe(self, era: int) -> None:
+        """Update the era from another gateway that read it from the store.
 
-        Most entries ask the store for nothing while others do it for them.
+        Most gateways send the store no requests while others read for them.
         """
         if era > self.current:
-            self._enter(era)
+            self._set_era(era)
 
-    def _enter(self, era: int) -> None:
+    def _set_era(self, era: int) -> None:
         before = self.current
-        was_named = self._named
+        had_era = self._has_era
         self.current = era
-        self._named = True
-        if not was_named:
+        self._has_era = True
+        if not had_era:
             return
         self.restored_at = self._clock()
         logging.warning(
@@ -105,22 +111,22 @@
         for callback in self._callbacks:
             callback()
 
-    def _doubt(self, detail: str, named: list[bytes]) -> str:
+    def _reject(self, detail: str, values: list[bytes]) -> str:
         logging.warning(
-            'answer of the store not believed',
+            'store response rejected',
             extra=logs.fields(
                 detail=detail,
-                named=b', '.join(named).decode('latin-1'),
+                named=b', '.join(values).decode('latin-1'),
                 era=self.current,
             ),
         )
         return detail
 
 
-def _read(named: list[bytes]) -> int | None:
-    """Return the count that an answer names, if it names one."""
-    if len(named) != 1 or not named[0].isdigit():
+def _parse_era(values: list[bytes]) -> int | None:
+    """Return the era in a response's header values, if it is valid."""
+    if len(values) != 1 or not values[0].isdigit():
         return None
-    if len(named[0]) > MOST_DIGITS:
+    if len(values[0]) > MAX_ERA_DIGITS:
         return None
-    return int(named[0])
+    return int(values[0])
--- a/marigoldramp/platform/headers.py
+++ b/marigoldramp/platform/headers.py
@@ -37,7 +37,7 @@
 
 WRONG_ENDPOINT = 421
 UNAVAILABLE = 503
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 #: What we set ourselves, or must not pass on.
 _REPLACED = frozenset(
@@ -76,7 +76,7 @@
             for pair in asgi.keep_end_to_end(headers)
             if pair[0] not in _REPLACED
         ]
-        left = max(1, int(outgoing.seconds * MILLISECONDS))
+        left = max(1, int(outgoing.seconds * MILLISECONDS_PER_SECOND))
         written.append((BUDGET, b'%d' % left))
         written.append((ENDPOINT, outgoing.identity.encode('latin-1')))
         if outgoing.customer:
@@ -105,7 +105,7 @@
     if text is None:
         return None
     try:
-        seconds = float(text) / MILLISECONDS
+        seconds = float(text) / MILLISECONDS_PER_SECOND
     except ValueError:
         raise ValueError('the time budget is not a number') from None
     if not 0.0 <= seconds < float('inf'):
--- a/marigoldramp/platform/objects.py
+++ b/marigoldramp/platform/objects.py
@@ -17,19 +17,18 @@
 from ..gateway import boot_clock
 from ..gateway import settings
 
-PATH = '/marigoldramp/objects'
-#: Seconds for one call.  The store answers in milliseconds when it is well
-#: and some hundred when it is slow.
-CALL_SECONDS = 1.0
-#: Seconds after which a silent connection counts as lost; a leaving endpoint
-#: must get nothing new within two of its word.
-SILENT_SECONDS = 3
-MILLISECONDS = 1000.0
-JSON = [(b'content-type', b'application/json')]
+OBJECTS_PATH = '/marigoldramp/objects'
+#: The store responds within milliseconds, or a few hundred when it is slow.
+MAX_CALL_SECONDS = 1.0
+#: Time without data after which a connection counts as lost.  An endpoint
+#: must get no new request later than 2 s after it reports that it is leaving.
+MAX_SILENCE_SECONDS = 3
+MILLISECONDS_PER_SECOND = 1000.0
+JSON_HEADERS = [(b'content-type', b'application/json')]
 
 Reply = api_client.Reply
 Failure = api_client.Failure
-T = TypeVar('T')
+ResponseT = TypeVar('ResponseT')
 
 
 class Metadata(
@@ -37,10 +36,11 @@
     kw_only=True,
     rename={'name': 'Name', 'revision': 'Revision'},
 ):
-    """What the store adds to an object.
+    """Name and revision of an object.
 
-    :ivar revision: the store's counter at the object's last change, in an
-        answer that has been taken as a version, see :mod:`.eras`.
+    :ivar revision: the store's change counter at the object's last change.
+        After decoding, :class:`ObjectStore` replaces it by a version, which
+        includes the store's era; see :mod:`.eras`.
     """
 
     name: str
@@ -50,23 +50,25 @@
 class Object(
     msgspec.Struct, kw_only=True, rename={'meta': 'Metadata', 'spec': 'Spec'}
 ):
-    """An object; its value is left as it was sent."""
+    """An object of the store; its value is not decoded."""
 
     meta: Metadata
     spec: msgspec.Raw = msgspec.Raw(b'null')
 
 
-class _Named(msgspec.Struct, kw_only=True, rename={'name': 'Name'}):
+class _NameMetadata(msgspec.Struct, kw_only=True, rename={'name': 'Name'}):
     name: str
 
 
-class _NamedObject(msgspec.Struct, kw_only=True, rename={'meta': 'Metadata'}):
-    """What is left of an object that is not as it should be."""
+class _NameOnlyObject(
+    msgspec.Struct, kw_only=True, rename={'meta': 'Metadata'}
+):
+    """The name of an object whose other fields cannot be decoded."""
 
-    meta: _Named
+    meta: _NameMetadata
 
 
-class _Page(
+class _PageResponse(
     msgspec.Struct,
     kw_only=True,
     rename={'items': 'Items', 'more': 'More', 'revision': 'AtRev'},
@@ -76,7 +78,7 @@
     revision: int = 0
 
 
-class _Event(
+class _EventResponse(
     msgspec.Struct,
     kw_only=True,
     rename={'deleted': 'Deleted', 'changed': 'Object'},
@@ -85,20 +87,20 @@
     deleted: bool = False
 
 
-class _Events(
+class _EventsResponse(
     msgspec.Struct,
     kw_only=True,
     rename={'events': 'events', 'revision': 'AtRev'},
 ):
-    events: list[_Event]
+    events: list[_EventResponse]
     revision: int = 0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Page:
-    """A part of a list.
+    """One page of a list.
 
-    :ivar more: it goes on after the last item's name.
+    :ivar more: another page follows, after the name of the last item.
     """
 
     items: list[Object]
@@ -108,7 +110,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Event:
-    """A change of one object."""
+    """A change to an object, or its deletion."""
 
     changed: Object
     deleted: bool
@@ -116,50 +118,57 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Events:
-    """What a watch has shown, and where the next one goes on."""
+    """Changes that a watch returned.
+
+    :ivar revision: version from which the next watch continues.
+    """
 
     events: list[Event]
     revision: int
 
 
-class _Written(
+class _WriteRequest(
     msgspec.Struct, kw_only=True, rename={'meta': 'Metadata', 'spec': 'Spec'}
 ):
     meta: Metadata
     spec: msgspec.Raw
 
 
-class Gone(msgspec.Struct, frozen=True):
-    """The history after the revision is no longer known."""
+class HistoryGone(msgspec.Struct, frozen=True):
+    """The store cannot return the changes since the requested version."""
 
 
 class ObjectStore(store.PlatformStore):
-    """The platform's store as the product's kind of store."""
+    """Reads, writes and watches objects in the platform's store.
+
+    A version that it returns combines a revision with the store's era, see
+    :mod:`.eras`.
+    """
 
     name = 'platform_objects'
-    __slots__ = ('_client', '_eras')
+    __slots__ = ('_client', '_era_tracker')
 
     def __init__(self, *, address: settings.Address) -> None:
-        # Connections to the store can go silent for good, so none is kept,
-        # and probes end a watch that waits on one.
+        # A connection to the store can stop delivering data for good without
+        # being closed.  So none is reused, and TCP probes end a watch on one.
         self._client = api_client.ApiClient(
             address=f'http://{address.host}:{address.port}',
             kept=0,
-            options=tcp_streams.probe_options(SILENT_SECONDS),
+            options=tcp_streams.probe_options(MAX_SILENCE_SECONDS),
         )
-        self._eras = eras.Eras(clock=boot_clock.read_clock)
+        self._era_tracker = eras.EraTracker(clock=boot_clock.read_clock)
 
     def era(self) -> int:
-        return self._eras.current
+        return self._era_tracker.current
 
     def hear_era(self, era: int) -> None:
-        self._eras.hear(era)
+        self._era_tracker.observe(era)
 
     def restored_at(self) -> float:
-        return self._eras.restored_at
+        return self._era_tracker.restored_at
 
     def on_restore(self, callback: Callable[[], None]) -> None:
-        self._eras.on_restore(callback)
+        self._era_tracker.on_restore(callback)
 
     async def read(
         self, *, key: store.Key
@@ -170,58 +179,61 @@
         found = _decode(reply, Object)
         if isinstance(found, store.Unavailable):
             return found
-        return _store(key.kind, self._date(found))
+        return _make_stored(key.kind, self._set_version(found))
 
     async def write(
         self, *, key: store.Key, value: bytes, expected: int
     ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
-        place = eras.split(expected)
-        if expected != store.CREATE and place.era != self._eras.current:
+        era_revision = eras.split_version(expected)
+        if (
+            expected != store.CREATE
+            and era_revision.era != self._era_tracker.current
+        ):
             return store.Conflict(key=key)
         body = msgspec.json.encode(
-            _Written(
-                meta=Metadata(name=key.name, revision=place.revision),
+            _WriteRequest(
+                meta=Metadata(name=key.name, revision=era_revision.revision),
                 spec=msgspec.Raw(value),
             )
         )
         if expected == store.CREATE:
             reply = await self._call('POST', _kind_path(key.kind), body)
-            return self._read_change(reply, key)
+            return self._parse_write(reply, key)
         reply = await self._call('PUT', _object_path(key), body)
-        return self._read_dated_change(reply, key, place)
+        return self._parse_conditional_write(reply, key, era_revision)
 
     async def delete(
         self, *, key: store.Key, expected: int
     ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
-        place = eras.split(expected)
-        if place.era != self._eras.current:
+        era_revision = eras.split_version(expected)
+        if era_revision.era != self._era_tracker.current:
             return store.Conflict(key=key)
-        path = f'{_object_path(key)}?Revision={place.revision}'
+        path = f'{_object_path(key)}?Revision={era_revision.revision}'
         reply = await self._call('DELETE', path)
-        return self._read_dated_change(reply, key, place)
+        return self._parse_conditional_write(reply, key, era_revision)
 
     async def list_objects(
         self, *, kind: str
     ) -> store.Listing | store.Unavailable:
-        found = await self.list_page_by_page(kind)
+        found = await self.list_all_pages(kind)
         if isinstance(found, store.Unavailable):
             return found
         return store.Listing(
-            objects=tuple(_store(kind, item) for item in found.items),
+            objects=tuple(_make_stored(kind, item) for item in found.items),
             version=found.revision,
         )
 
     async def watch(
         self, *, kind: str, after: int, seconds: float
     ) -> store.Listing | store.Unavailable:
-        found = await self.follow(kind, after=after, seconds=seconds)
+        found = await self.watch_events(kind, after=after, seconds=seconds)
         match found:
-            case Gone():
-                return store.Unavailable(detail='the history is gone')
+            case HistoryGone():
+                return store.Unavailable(detail='change history is gone')
             case Events():
                 return store.Listing(
                     objects=tuple(
-                        _store(kind, event.changed)
+                        _make_stored(kind, event.changed)
                         for event in found.events
                         if not event.deleted
                     ),
@@ -230,59 +242,62 @@
         return found
 
     async def list_instances(self) -> store.Instances | store.Unavailable:
-        return store.Unavailable(detail='the platform has no such list')
+        return store.Unavailable(detail='platform has no instance list')
 
     async def close(self) -> None:
         await self._client.close()
 
-    async def list_page_by_page(self, kind: str) -> Page | store.Unavailable:
-        """Return all objects of a kind, at the first page's revision.
+    async def list_all_pages(self, kind: str) -> Page | store.Unavailable:
+        """Return all objects of a kind, and the version of the first page.
 
-        A change between two pages is seen again by a watch from there.
+        A watch from that version also returns what changed between pages.
         """
         path = _kind_path(kind)
-        whole = _read_page(await self._call('GET', path))
-        era = self._eras.current
-        page = whole
+        listing = _parse_page(await self._call('GET', path))
+        era = self._era_tracker.current
+        page = listing
         while isinstance(page, Page) and page.more:
             if not page.items:
-                return store.Unavailable(detail='a page names no object')
+                return store.Unavailable(detail='page without an object name')
             last = urllib.parse.quote(page.items[-1].meta.name, safe='')
             reply = await self._call('GET', f'{path}?After={last}')
-            page = _read_page(reply)
-            if isinstance(page, Page) and isinstance(whole, Page):
-                whole.items.extend(page.items)
+            page = _parse_page(reply)
+            if isinstance(page, Page) and isinstance(listing, Page):
+                listing.items.extend(page.items)
         if isinstance(page, store.Unavailable):
             return page
-        if era != self._eras.current:
-            return store.Unavailable(detail='it was restored between pages')
-        if isinstance(whole, Page):
-            whole.items = [self._date(item) for item in whole.items]
-            whole.revision = self._make_version(whole.revision)
-        return whole
-
-    async def follow(
+        if era != self._era_tracker.current:
+            return store.Unavailable(detail='store restored between pages')
+        if isinstance(listing, Page):
+            listing.items = [self._set_version(item) for item in listing.items]
+            listing.revision = self._make_version(listing.revision)
+        return listing
+
+    async def watch_events(
         self, kind: str, *, after: int, seconds: float
-    ) -> Events | Gone | store.Unavailable:
-        """Return what changes after a version.
+    ) -> Events | HistoryGone | store.Unavailable:
+        """Return the changes after a version.
 
-        A store that was restored meanwhile can have another revision of that
-        number, and go on from there.
+        Returns ``HistoryGone`` if the store has been restored since: it can
+        have reused the revision, and would return unrelated changes.
         """
-        place = eras.split(after)
-        if place.era != self._eras.current:
-            return Gone()
-        wait = int(seconds * MILLISECONDS)
-        path = f'{_kind_path(kind)}?Watch={place.revision}&WaitMs={wait}'
-        reply = await self._call('GET', path, longer=seconds)
-        if place.era != self._eras.current:
-            return Gone()
+        era_revision = eras.split_version(after)
+        if era_revision.era != self._era_tracker.current:
+            return HistoryGone()
+        wait_ms = int(seconds * MILLISECONDS_PER_SECOND)
+        path = (
+            f'{_kind_path(kind)}'
+            f'?Watch={era_revision.revision}&WaitMs={wait_ms}'
+        )
+        reply = await self._call('GET', path, extra_seconds=seconds)
+        if era_revision.era != self._era_tracker.current:
+            return HistoryGone()
         if isinstance(reply, Reply) and reply.status == http.HTTPStatus.GONE:
-            return Gone()
-        found = _read_events(reply)
+            return HistoryGone()
+        found = _parse_events(reply)
         if isinstance(found, Events):
             for event in found.events:
-                self._date(event.changed)
+                self._set_version(event.changed)
             found.revision = self._make_version(found.revision)
         return found
 
@@ -292,48 +307,53 @@
         path: str,
         body: bytes = b'',
         *,
-        longer: float = 0.0,
+        extra_seconds: float = 0.0,
     ) -> Reply | Failure:
         found = await self._client.call(
             api_client.Request(
                 method=method,
                 path=path,
-                headers=JSON if body else [],
+                headers=JSON_HEADERS if body else [],
                 body=body,
-                seconds=CALL_SECONDS + longer,
+                seconds=MAX_CALL_SECONDS + extra_seconds,
             )
         )
         if isinstance(found, Reply):
-            detail = self._eras.note(found.headers)
+            detail = self._era_tracker.check_headers(found.headers)
             if detail:
                 return Failure(begun=True, detail=detail)
         return found
 
     def _make_version(self, revision: int) -> int:
-        """Return the version of a revision that has just been read."""
-        return eras.join(eras.Place(era=self._eras.current, revision=revision))
+        """Return the version of a revision in the current era."""
+        return eras.make_version(
+            eras.EraRevision(era=self._era_tracker.current, revision=revision)
+        )
 
-    def _date(self, found: Object) -> Object:
-        """Make the revision of an object that was read its version."""
+    def _set_version(self, found: Object) -> Object:
+        """Replace the revision of a decoded object by its version."""
         found.meta.revision = self._make_version(found.meta.revision)
         return found
 
-    def _read_dated_change(
-        self, reply: Reply | Failure, key: store.Key, place: eras.Place
+    def _parse_conditional_write(
+        self,
+        reply: Reply | Failure,
+        key: store.Key,
+        era_revision: eras.EraRevision,
     ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
-        """Read what came of a write that expected a revision.
+        """Return the result of a write that expected a revision.
 
-        In a store that was restored meanwhile it has hit another object, if
-        any.
+        Returns a conflict if the store was restored meanwhile: the write then
+        applied to an unrelated object with that revision, if to any.
         """
-        if place.era != self._eras.current:
+        if era_revision.era != self._era_tracker.current:
             return store.Conflict(key=key)
-        return self._read_change(reply, key)
+        return self._parse_write(reply, key)
 
-    def _read_change(
+    def _parse_write(
         self, reply: Reply | Failure, key: store.Key
     ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
-        found = _read_change(reply, key)
+        found = _parse_write(reply, key)
         if isinstance(found, store.Written):
             return dataclasses.replace(
                 found, version=self._make_version(found.version)
@@ -342,14 +362,14 @@
 
 
 def _kind_path(kind: str) -> str:
-    return f'{PATH}/{urllib.parse.quote(kind, safe="")}'
+    return f'{OBJECTS_PATH}/{urllib.parse.quote(kind, safe="")}'
 
 
 def _object_path(key: store.Key) -> str:
     return f'{_kind_path(key.kind)}/{urllib.parse.quote(key.name, safe="")}'
 
 
-def _store(kind: str, found: Object) -> store.Stored:
+def _make_stored(kind: str, found: Object) -> store.Stored:
     return store.Stored(
         key=store.Key(kind=kind, name=found.meta.name),
         version=found.meta.revision,
@@ -357,52 +377,55 @@
     )
 
 
-def _decode(reply: Reply | Failure, shape: type[T]) -> T | store.Unavailable:
+def _decode(
+    reply: Reply | Failure, expected_type: type[ResponseT]
+) -> ResponseT | store.Unavailable:
     if isinstance(reply, Failure):
         return store.Unavailable(detail=reply.detail)
     if reply.status != http.HTTPStatus.OK:
         return store.Unavailable(detail=f'status {reply.status}')
     try:
-        return msgspec.json.decode(_repair(reply.body), type=shape)
+        return msgspec.json.decode(
+            _replace_invalid_utf8(reply.body), type=expected_type
+        )
     except msgspec.MsgspecError as error:
-        return store.Unavailable(detail=f'the answer is broken: {error}')
+        return store.Unavailable(detail=f'malformed response: {error}')
 
 
-def _repair(body: bytes) -> bytes:
-    """Return text with marks in the place of bytes that are none."""
+def _replace_invalid_utf8(body: bytes) -> bytes:
+    """Replace bytes that are not UTF-8 by replacement characters."""
     return body.decode(errors='replace').encode()
 
 
-def _read_page(reply: Reply | Failure) -> Page | store.Unavailable:
-    found = _decode(reply, _Page)
+def _parse_page(reply: Reply | Failure) -> Page | store.Unavailable:
+    found = _decode(reply, _PageResponse)
     if isinstance(found, store.Unavailable):
         return found
-    read = [_read_object(raw) for raw in found.items]
+    items = [_parse_object(raw) for raw in found.items]
     return Page(
-        items=[one for one in read if one is not None],
+        items=[one for one in items if one is not None],
         more=found.more,
         revision=found.revision,
     )
 
 
-def _read_events(reply: Reply | Failure) -> Events | store.Unavailable:
-    found = _decode(reply, _Events)
+def _parse_events(reply: Reply | Failure) -> Events | store.Unavailable:
+    found = _decode(reply, _EventsResponse)
     if isinstance(found, store.Unavailable):
         return found
     events = []
     for event in found.events:
-        changed = _read_object(event.changed)
+        changed = _parse_object(event.changed)
         if changed is not None:
             events.append(Event(changed=changed, deleted=event.deleted))
     return Events(events=events, revision=found.revision)
 
 
-def _read_object(raw: msgspec.Raw) -> Object | None:
-    """Return an object; without its value if that is all that can be read.
+def _parse_object(raw: msgspec.Raw) -> Object | None:
+    """Return an object, only its name if no more can be decoded, or None.
 
-    Objects may come from other writers.  One that is not as it should be
-    must not hide the others of its page, seen as endpoints that all entries
-    stop using at once.
+    Other programs may write objects too.  A malformed one must not make its
+    whole page fail: all gateways would stop using all endpoints at once.
     """
     try:
         return msgspec.json.decode(raw, type=Object)
@@ -411,14 +434,14 @@
             'object not understood', extra=logs.fields(detail=str(error))
         )
     try:
-        named = msgspec.json.decode(raw, type=_NamedObject)
+        named = msgspec.json.decode(raw, type=_NameOnlyObject)
     except msgspec.MsgspecError:
-        # Nothing names what it is of; the line above tells of it.
+        # Without a name it can only be skipped; it is logged above.
         return None
     return Object(meta=Metadata(name=named.meta.name))
 
 
-def _read_change(
+def _parse_write(
     reply: Reply | Failure, key: store.Key
 ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
     if isinstance(reply, Failure):
@@ -431,7 +454,7 @@
         try:
             found = msgspec.json.decode(reply.body, type=Object)
         except msgspec.MsgspecError as error:
-            return store.Uncertain(detail=f'the answer is broken: {error}')
+            return store.Uncertain(detail=f'malformed response: {error}')
         return store.Written(key=key, version=found.meta.revision)
     if reply.status >= 500 and reply.status != 503:
         return store.Uncertain(detail=f'status {reply.status}')
--- a/marigoldramp/platform/pages.py
+++ b/marigoldramp/platform/pages.py
@@ -13,7 +13,7 @@
 #: Seconds for which callers are to keep an answer.  Shorter costs more
 #: questions; longer, and callers keep to an entry that has gone.
 KEEP_SECONDS = 1.0
-JSON = [(b'content-type', b'application/json')]
+JSON_HEADERS = [(b'content-type', b'application/json')]
 
 
 class _Addresses(
@@ -49,6 +49,6 @@
                 seconds=min(KEEP_SECONDS, longest),
             )
         )
-        await exchange.respond(status=200, headers=JSON, body=body)
+        await exchange.respond(status=200, headers=JSON_HEADERS, body=body)
 
     return adapter.Pages(readiness=show_readiness, addresses=show_addresses)
--- a/marigoldramp/platform/ranks.py
+++ b/marigoldramp/platform/ranks.py
@@ -1,4 +1,4 @@
-"""Reports and orders of ranks in the platform's form."""
+"""HTTP client of model-serving ranks: reads reports and sends orders."""
 
 from typing import Any
 
@@ -9,30 +9,28 @@
 from ..gateway import ranks
 from . import headers
 
-REPORT = '/marigoldramp/report'
-COUNTS = '/marigoldramp/picked'
-EXPERTS = '/marigoldramp/picked?Lists=1'
-ORDER = '/marigoldramp/order'
-#: Seconds for one question, and for one order.  A rank answers within
-#: milliseconds or not at all, and while one leaves an order unanswered the
-#: group may be held.
-QUESTION_SECONDS = 0.5
-ORDER_SECONDS = 0.08
-#: Exchanges at once.  With 72 ranks, all at once take longer on one processor
-#: than a rank is given to answer.
-MOST_AT_ONCE = 12
-#: Maps that are sent at once.  A map of 192 ranks has 25 KB and takes longer
-#: on the link of its rank than on ours, so more of them are on their way.
-MOST_MAPS_AT_ONCE = 32
-#: Bytes a second that the link of a rank takes at least.
-RANK_LINK_RATE = 250_000.0
-#: Connections that are kept for each rank.
-MOST_IDLE = 1
-_OPEN = 'open'
-TOKEN_OLD = 412
-
-
-class _Group(
+REPORT_PATH = '/marigoldramp/report'
+COUNTS_PATH = '/marigoldramp/picked'
+EXPERTS_PATH = '/marigoldramp/picked?Lists=1'
+ORDER_PATH = '/marigoldramp/order'
+#: A rank responds within milliseconds or not at all.  For an order, the time
+#: of its transfer is added; the group may be held while a rank does not
+#: respond to one.
+MAX_READ_SECONDS = 0.5
+MAX_SMALL_ORDER_SECONDS = 0.08
+#: On one core, requests to 72 ranks at once take longer than the timeout.
+MAX_CONCURRENT_REQUESTS = 12
+#: More than other requests: a map for 192 ranks has 25 KB and takes longer on
+#: the rank's link than on this instance's.
+MAX_CONCURRENT_MAPS = 32
+MIN_RANK_LINK_BYTES_PER_SECOND = 250_000.0
+#: For each rank.
+MAX_IDLE_CONNECTIONS = 1
+_OPEN_STATE = 'open'
+TOKEN_OLD_STATUS = 412
+
+
+class _GroupState(
     msgspec.Struct,
     kw_only=True,
     rename={'name': 'Name', 'state': 'State'},
@@ -48,7 +46,7 @@
     step: int
 
 
-class _Report(
+class _ReportResponse(
     msgspec.Struct,
     kw_only=True,
     rename={
@@ -57,9 +55,14 @@
         'armed': 'Armed',
     },
 ):
-    """``ExpertMap`` holds a version here, and lists of experts elsewhere."""
+    """State of a rank.
 
-    group: _Group
+    :ivar version: of the map in force; ``ExpertMap`` holds a version here,
+        and lists of experts elsewhere.
+    :ivar prepared: version of the map whose experts are all copied, if any.
+    """
+
+    group: _GroupState
     size: int
     step: int = 0
     version: int = 0
@@ -70,8 +73,10 @@
     born: int = 0
 
 
-class _Counts(msgspec.Struct, kw_only=True, rename={'counts': 'Counts'}):
-    """Counts of all layers behind one another."""
+class _CountsResponse(
+    msgspec.Struct, kw_only=True, rename={'counts': 'Counts'}
+):
+    """How often each expert was picked, with the layers concatenated."""
 
     step: int
     epoch: int
@@ -84,37 +89,41 @@
     kw_only=True,
     rename={'version': 'Version', 'experts': 'Experts'},
 ):
+    """Experts of one rank, by layer."""
+
     version: int
     experts: list[tuple[int, ...]]
 
 
-class _Lists(msgspec.Struct, kw_only=True, rename={'in_force': 'ExpertMap'}):
+class _ExpertsResponse(
+    msgspec.Struct, kw_only=True, rename={'in_force': 'ExpertMap'}
+):
     in_force: _Experts
 
 
-class Ranks(ranks.RankApi):
-    """Reaches ranks by HTTP.
+class HttpRankApi(ranks.RankApi):
+    """Sends requests to ranks over HTTP.
 
-    :param link_rate: bytes a second of our own link.
+    :param link_rate: bytes per second of this instance's link.
     """
 
     __slots__ = ('_pool', '_limiter', '_map_limiter', '_link_rate', '_encoder')
 
     def __init__(self, *, link_rate: float) -> None:
-        self._pool = outbound.Pool(max_idle=MOST_IDLE)
-        self._limiter = anyio.CapacityLimiter(MOST_AT_ONCE)
-        self._map_limiter = anyio.CapacityLimiter(MOST_MAPS_AT_ONCE)
+        self._pool = outbound.Pool(max_idle=MAX_IDLE_CONNECTIONS)
+        self._limiter = anyio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
+        self._map_limiter = anyio.CapacityLimiter(MAX_CONCURRENT_MAPS)
         self._link_rate = link_rate
         self._encoder = OrderEncoder()
 
     async def report(
         self, *, address: outbound.Address, identity: str
     ) -> ranks.RankReport | ranks.NoReply:
-        body = await self._get(address, identity, REPORT)
+        body = await self._get(address, identity, REPORT_PATH)
         if isinstance(body, ranks.NoReply):
             return body
         try:
-            found = msgspec.json.decode(body, type=_Report)
+            found = msgspec.json.decode(body, type=_ReportResponse)
         except msgspec.MsgspecError as error:
             return ranks.NoReply(detail=str(error))
         armed = found.armed
@@ -123,7 +132,7 @@
             epoch=found.group.epoch,
             rank=found.group.rank,
             size=found.size,
-            group_open=found.group.state == _OPEN,
+            group_open=found.group.state == _OPEN_STATE,
             step=found.step,
             version=found.version,
             prepared=found.prepared,
@@ -140,11 +149,11 @@
     async def counts(
         self, *, address: outbound.Address, identity: str
     ) -> ranks.RankCounts | ranks.NoReply:
-        body = await self._get(address, identity, COUNTS)
+        body = await self._get(address, identity, COUNTS_PATH)
         if isinstance(body, ranks.NoReply):
             return body
         try:
-            found = msgspec.json.decode(body, type=_Counts)
+            found = msgspec.json.decode(body, type=_CountsResponse)
         except msgspec.MsgspecError as error:
             return ranks.NoReply(detail=str(error))
         return ranks.RankCounts(
@@ -157,11 +166,11 @@
     async def experts(
         self, *, address: outbound.Address, identity: str
     ) -> ranks.RankExperts | ranks.NoReply:
-        body = await self._get(address, identity, EXPERTS)
+        body = await self._get(address, identity, EXPERTS_PATH)
         if isinstance(body, ranks.NoReply):
             return body
         try:
-            found = msgspec.json.decode(body, type=_Lists).in_force
+            found = msgspec.json.decode(body, type=_ExpertsResponse).in_force
         except msgspec.MsgspecError as error:
             return ranks.NoReply(detail=str(error))
         return ranks.RankExperts(
@@ -181,13 +190,13 @@
                 address=address,
                 identity=identity,
                 method=b'POST',
-                target=ORDER.encode(),
+                target=ORDER_PATH.encode(),
                 headers=[
                     (b'content-type', b'application/json'),
                     (headers.ENDPOINT, identity.encode()),
                 ],
                 body=body,
-                seconds=find_order_seconds(
+                seconds=compute_order_timeout(
                     size=len(body), link_rate=self._link_rate
                 ),
             )
@@ -195,7 +204,7 @@
             return ranks.NoReply(detail=reply.detail)
         if reply.status in (200, 202):
             return ranks.Accepted()
-        if reply.status == TOKEN_OLD:
+        if reply.status == TOKEN_OLD_STATUS:
             return ranks.TokenOld()
         return ranks.Refused(status=reply.status)
 
@@ -211,7 +220,7 @@
                 target=path.encode(),
                 headers=[(headers.ENDPOINT, identity.encode())],
                 body=b'',
-                seconds=QUESTION_SECONDS,
+                seconds=MAX_READ_SECONDS,
             )
         if isinstance(reply, outbound.NoReply):
             return ranks.NoReply(detail=reply.detail)
@@ -221,7 +230,7 @@
 
 
 class OrderEncoder:
-    """Encodes orders; a map once for all ranks that it is sent to."""
+    """Encodes orders; a map that is sent to many ranks is encoded once."""
 
     __slots__ = ('_layers', '_encoded')
 
@@ -263,15 +272,19 @@
         return self._encoded
 
 
-def find_order_seconds(*, size: int, link_rate: float) -> float:
-    """Return the seconds for which the reply to an order is waited for.
+def compute_order_timeout(*, size: int, link_rate: float) -> float:
+    """Return the timeout of an order in seconds.
 
-    A map is large: 25 KB for 192 ranks.  All that are sent at once share our
-    link, and each one passes the link of its rank.  Given up after the time
-    of a small order, every copy of it was sent again ten times, no rank ever
-    answered in time, and the group kept its first map.
+    A map is large: 25 KB for 192 ranks.  Maps sent at once share this
+    instance's link, and each also passes its rank's link.  With the timeout
+    of a small order, each map is sent again ten times, no rank responds in
+    time, and the group keeps its first map.
 
     :param size: bytes of the order.
     """
-    on_its_way = size * MOST_MAPS_AT_ONCE / link_rate
-    return ORDER_SECONDS + on_its_way + size / RANK_LINK_RATE
+    local_link_seconds = size * MAX_CONCURRENT_MAPS / link_rate
+    return (
+        MAX_SMALL_ORDER_SECONDS
+        + local_link_seconds
+        + size / MIN_RANK_LINK_BYTES_PER_SECOND
+    )
--- a/marigoldramp/platform/settings_file.py
+++ b/marigoldramp/platform/settings_file.py
@@ -13,7 +13,7 @@
 PATH_VARIABLE = 'MARIGOLDRAMP_BOOT'
 #: Where metrics are served; ``deploy/system.toml`` names the same port.
 METRICS_PORT = 9464
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 BYTES_A_MEGABIT = 125_000.0
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
@@ -189,10 +189,10 @@
 
 def _build_bounds(found: _Bounds) -> settings.Bounds:
     return settings.Bounds(
-        drain=found.drain_ms / MILLISECONDS,
+        drain=found.drain_ms / MILLISECONDS_PER_SECOND,
         grace=found.grace_s,
-        apply=found.apply_ms / MILLISECONDS,
-        revoke=found.revoke_ms / MILLISECONDS,
+        apply=found.apply_ms / MILLISECONDS_PER_SECOND,
+        revoke=found.revoke_ms / MILLISECONDS_PER_SECOND,
         longest_addresses=found.longest_addresses_s,
         retries=retry_budget.Bounds(
             ratio=found.retry_ratio,
@@ -200,7 +200,7 @@
             window=found.retry_window_s,
         ),
         fenced=found.fenced,
-        stall=found.stall_ms / MILLISECONDS,
+        stall=found.stall_ms / MILLISECONDS_PER_SECOND,
     )
 
 
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -30,7 +30,7 @@
 
 
 def version(era, revision):
-    return eras.join(eras.Place(era=era, revision=revision))
+    return eras.make_version(eras.EraRevision(era=era, revision=revision))
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
 def test_versions_grow_with_each_restore(lower, higher):
     assert version(*lower) < version(*higher)
     for era, revision in (lower, higher):
-        assert eras.split(version(era, revision)) == eras.Place(
+        assert eras.split_version(version(era, revision)) == eras.EraRevision(
             era=era, revision=revision
         )
 
@@ -115,11 +115,15 @@
     )
     listed = await made.list_objects(kind='servers')
     assert listed.version == version(1, 7)
-    found = await made.follow('servers', after=listed.version, seconds=1.0)
-    assert found == objects.Gone()
+    found = await made.watch_events(
+        'servers', after=listed.version, seconds=1.0
+    )
+    assert found == objects.HistoryGone()
     assert '?Watch=7&' in client.requests[-1].path
-    found = await made.follow('servers', after=listed.version, seconds=1.0)
-    assert found == objects.Gone()
+    found = await made.watch_events(
+        'servers', after=listed.version, seconds=1.0
+    )
+    assert found == objects.HistoryGone()
     assert len(client.requests) == 2
 
 
@@ -132,7 +136,9 @@
         in_era(3, 200, {'Items': [], 'AtRev': 7}), in_era(3, 200, events)
     )
     listed = await made.list_objects(kind='servers')
-    found = await made.follow('servers', after=listed.version, seconds=1.0)
+    found = await made.watch_events(
+        'servers', after=listed.version, seconds=1.0
+    )
     assert found.revision == version(3, 9)
     assert found.events[0].changed.meta.revision == version(3, 8)
 
--- a/tests/adapter/test_ranks.py
+++ b/tests/adapter/test_ranks.py
@@ -33,7 +33,7 @@
     one = fake.FakeEndpoint(identity='i-1', scripts=scripts)
     async with one.serve():
         address = outbound.Address(host=fake.HOST, port=one.port)
-        found = await question(ranks.Ranks(link_rate=LINK_RATE), address)
+        found = await question(ranks.HttpRankApi(link_rate=LINK_RATE), address)
     return found, one.seen
 
 
@@ -173,7 +173,7 @@
     lost and is sent again, ten times, until the leader gives up.
     Cause: a map was given the time of an order of a hundred bytes.
     """
-    found = ranks.find_order_seconds(size=size, link_rate=link_rate)
+    found = ranks.compute_order_timeout(size=size, link_rate=link_rate)
     assert least <= found <= most
 
 
