--- a/marigoldramp/platform/__init__.py
+++ b/marigoldramp/platform/__init__.py
@@ -1,5 +1,6 @@
-"""Translates between the users' platform and the gateway; decides nothing.
+"""Translates between the platform's protocol and the gateway's types.
 
-Names of the wire stand in this package only.  Where the platform's word is
-not the project's, the comment beside it says what it holds.
+Only this package uses the names of the platform's protocol.  It makes no
+decisions about traffic.  Where a name of the protocol is misleading, a
+comment beside it says what it holds.
 """
--- a/marigoldramp/platform/__main__.py
+++ b/marigoldramp/platform/__main__.py
@@ -17,23 +17,23 @@
 from . import ranks
 from . import settings_file
 
-BAD_SETTINGS = 2
+BAD_SETTINGS_EXIT_CODE = 2
 
 
 def main() -> int:
     """Read the settings and run; return the exit code."""
     try:
-        path = settings_file.path_from_environment()
+        path = settings_file.read_path_from_environment()
         settings = settings_file.read(path)
     except (OSError, ValueError) as error:
         sys.stderr.write(f'{error}\n')
-        return BAD_SETTINGS
+        return BAD_SETTINGS_EXIT_CODE
     logs.configure_stdout(instance=settings.instance)
     store = objects.ObjectStore(address=settings.store)
-    brought = adapter.Adapter(
+    platform_adapter = adapter.Adapter(
         codec=headers.Codec(),
-        configuration=configuration.Source(objects=store),
-        endpoint_source=endpoints.Source(objects=store),
+        configuration=configuration.StoreConfigurationSource(objects=store),
+        endpoint_source=endpoints.StoreEndpointSource(objects=store),
         store=store,
         rank_api=ranks.HttpRankApi(link_rate=settings.link_rate),
         make_pages=pages.make,
@@ -43,7 +43,7 @@
         functools.partial(
             program.run,
             settings=settings,
-            adapter=brought,
+            adapter=platform_adapter,
             metrics=metrics.create_local(instance=settings.instance),
         )
     )
--- a/marigoldramp/platform/configuration.py
+++ b/marigoldramp/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the operator's configuration from the platform's store."""
+"""Reads and decodes the operator's configuration in the platform's store."""
 
 import msgspec
 
@@ -7,16 +7,16 @@
 from ..gateway import deployment
 from . import objects
 
-KEY = store.Key(kind='config', name='main')
+CONFIGURATION_KEY = store.Key(kind='config', name='main')
 MILLISECONDS_PER_SECOND = 1000.0
-MEGABYTE = 1_000_000.0
-MEGABIT = 125_000.0
-#: Kinds of routes; a kind that is not known may not be repeated.
-_IDEMPOTENT = 'idempotent'
-_STREAMING = 'streaming'
+BYTES_PER_MEGABYTE = 1_000_000.0
+BYTES_PER_MEGABIT = 125_000.0
+#: Kinds of routes.  Requests of an unknown kind are not retried.
+_IDEMPOTENT_KIND = 'idempotent'
+_STREAMING_KIND = 'streaming'
 
 
-class _Share(
+class _TrafficShare(
     msgspec.Struct,
     kw_only=True,
     rename={'service': 'Service', 'weight': 'Weight'},
@@ -44,9 +44,14 @@
         'pause_ms': 'GapTargetMs',
     },
 ):
-    """A route has one service, or a split among several.
-
-    :ivar attempts: endpoints on which one request may run.
+    """A route to one service, or to several that share its traffic.
+
+    :ivar objective_ms: within which an answer counts in full; of a stream,
+        its first event.
+    :ivar attempts: the most endpoints on which one request may run.
+    :ivar resumable: a broken stream may continue on another endpoint.
+    :ivar pause_ms: time between two events of a stream above which it counts
+        as late; 0 for no bound.
     """
 
     name: str
@@ -57,18 +62,20 @@
     objective_ms: float = 0.0
     priority: int = 5
     service: str = ''
-    split: list[_Share] | None = None
+    split: list[_TrafficShare] | None = None
     attempts: int = 1
     public: bool = False
     resumable: bool = False
     pause_ms: float = 0.0
 
 
-class _Usual(
+class _MeanTokens(
     msgspec.Struct,
     kw_only=True,
     rename={'prompt': 'prompt', 'answer': 'answer'},
 ):
+    """Mean numbers of tokens of a request."""
+
     prompt: float = 0.0
     answer: float = 0.0
 
@@ -92,14 +99,26 @@
         'expert_share': 'ExpertShare',
     },
 ):
-    """Figures of an engine; a layer is what the platform calls a set."""
+    """Capacity and timing of a service's model engines.
+
+    :ivar slots: requests that run at once.
+    :ivar stride: steps in one pass of the group.
+    :ivar step_ms: time of a token step without requests.
+    :ivar per_request_ms: added to a step for each running request.
+    :ivar prompt_rate: prompt tokens read per second.
+    :ivar layers: expert layers; the platform calls a layer a set.
+    :ivar places: experts that a rank can hold in each layer.
+    :ivar spare: new experts that a rank can copy in each layer.
+    :ivar link_mbps: at which weights are copied.
+    :ivar expert_share: part of the work that the experts do, 0 to 1.
+    """
 
     slots: int
     stride: int = 1
     step_ms: float = 0.0
     per_request_ms: float = 0.0
     prompt_rate: float = 0.0
-    usual: _Usual = msgspec.field(default_factory=_Usual)
+    usual: _MeanTokens = msgspec.field(default_factory=_MeanTokens)
     layers: int = 0
     experts: int = 0
     places: int = 0
@@ -118,6 +137,11 @@
         'engine': 'Engine',
     },
 ):
+    """A service.
+
+    :ivar connections: that one endpoint accepts from all callers together.
+    """
+
     name: str
     connections: int = 0
     engine: _Engine | None = None
@@ -167,8 +191,8 @@
     customers: list[_Customer] | None = None
 
 
-class Source(configurations.ConfigurationSource):
-    """The operator's object in the store."""
+class StoreConfigurationSource(configurations.ConfigurationSource):
+    """Fetches the configuration, one object in the store."""
 
     __slots__ = ('_store',)
 
@@ -176,7 +200,7 @@
         self._store = objects
 
     async def fetch(self) -> bytes | store.Absent | store.Unavailable:
-        found = await self._store.read(key=KEY)
+        found = await self._store.read(key=CONFIGURATION_KEY)
         if isinstance(found, store.Stored):
             return found.value
         return found
@@ -186,9 +210,9 @@
 
 
 def decode(document: bytes) -> deployment.Configuration:
-    """Return the configuration in a document.
+    """Return the configuration in a JSON document.
 
-    :raises ValueError: it cannot be understood; the text names the place.
+    :raises ValueError: the document is invalid; the message names the field.
     """
     found = msgspec.json.decode(document, type=_Document)
     return deployment.Configuration(
@@ -220,13 +244,13 @@
         host=route.host,
         prefix=route.prefix,
         targets=_build_targets(route),
-        retry_policy=_read_repeat(route),
+        retry_policy=_build_retry_policy(route),
         attempts=max(1, route.attempts),
         timeout=route.timeout_ms / MILLISECONDS_PER_SECOND,
         objective=route.objective_ms / MILLISECONDS_PER_SECOND,
         priority=route.priority,
         public=route.public,
-        streams=route.kind == _STREAMING,
+        streams=route.kind == _STREAMING_KIND,
         longest_pause=route.pause_ms / MILLISECONDS_PER_SECOND,
     )
 
@@ -240,10 +264,10 @@
     return (deployment.Target(service=route.service, weight=1.0),)
 
 
-def _read_repeat(route: _Route) -> deployment.RetryPolicy:
-    if route.kind == _IDEMPOTENT:
+def _build_retry_policy(route: _Route) -> deployment.RetryPolicy:
+    if route.kind == _IDEMPOTENT_KIND:
         return deployment.RetryPolicy.ALLOWED
-    if route.kind == _STREAMING and route.resumable:
+    if route.kind == _STREAMING_KIND and route.resumable:
         return deployment.RetryPolicy.RESUMED
     return deployment.RetryPolicy.FORBIDDEN
 
@@ -269,8 +293,8 @@
         experts=engine.experts,
         places=engine.places,
         spare=engine.spare,
-        expert_bytes=engine.expert_mb * MEGABYTE,
-        link_rate=engine.link_mbps * MEGABIT,
+        expert_bytes=engine.expert_mb * BYTES_PER_MEGABYTE,
+        link_rate=engine.link_mbps * BYTES_PER_MEGABIT,
         expert_share=engine.expert_share,
         stride=max(1, engine.stride),
     )
--- a/marigoldramp/platform/endpoints.py
+++ b/marigoldramp/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as they register in the platform's store."""
+"""Lists and watches the endpoints that register in the platform's store."""
 
 from absl import logging
 import msgspec
@@ -10,12 +10,12 @@
 from . import objects
 from . import settings_file
 
-KIND = 'servers'
-_READY = 'ready'
-_DRAINING = 'draining'
+ENDPOINT_KIND = 'servers'
+_READY_STATE = 'ready'
+_DRAINING_STATE = 'draining'
 
 
-class _Server(
+class _EndpointSpec(
     msgspec.Struct,
     kw_only=True,
     rename={
@@ -26,9 +26,9 @@
         'state': 'State',
     },
 ):
-    """An endpoint; the object's name is its identity.
+    """Value of an endpoint's object, whose name is the endpoint's identity.
 
-    :ivar born: Unix millisecond of its start.
+    :ivar born: Unix time of its start in milliseconds; 0 if unknown.
     """
 
     service: str
@@ -39,8 +39,8 @@
     born: int = 0
 
 
-class Source(listings.EndpointSource):
-    """The kind of objects as which endpoints register."""
+class StoreEndpointSource(listings.EndpointSource):
+    """Reads endpoints from their objects in the store."""
 
     __slots__ = ('_store',)
 
@@ -48,79 +48,81 @@
         self._store = objects
 
     async def list_all(self) -> listings.Listing | store.Unavailable:
-        found = await self._store.list_all_pages(KIND)
+        found = await self._store.list_all_pages(ENDPOINT_KIND)
         if isinstance(found, store.Unavailable):
             return found
         return listings.Listing(
-            records=_read_all(found.items),
+            records=_parse_records(found.items),
             revision=found.revision,
-            newest=_newest(found.items),
+            newest=_find_newest_revision(found.items),
         )
 
     async def watch(
         self, *, after: int, seconds: float
     ) -> listings.Changes | listings.HistoryGone | store.Unavailable:
         found = await self._store.watch_events(
-            KIND, after=after, seconds=seconds
+            ENDPOINT_KIND, after=after, seconds=seconds
         )
         match found:
             case objects.HistoryGone():
                 return listings.HistoryGone()
             case objects.Events():
-                return _read_events(found)
+                return _merge_events(found)
         return found
 
 
-def _read_events(found: objects.Events) -> listings.Changes:
-    """Return the last state of each endpoint that the events touch.
+def _merge_events(found: objects.Events) -> listings.Changes:
+    """Return the last state of each endpoint that has events.
 
-    One whose entry can no longer be understood counts as removed.
+    An endpoint whose last object cannot be decoded counts as removed.
     """
     last = {event.changed.meta.name: event for event in found.events}
-    kept = [event.changed for event in last.values() if not event.deleted]
-    records = _read_all(kept)
+    present = [event.changed for event in last.values() if not event.deleted]
+    records = _parse_records(present)
     known = {record.identity for record in records}
     return listings.Changes(
         records=records,
         removed=tuple(name for name in last if name not in known),
         revision=found.revision,
-        newest=_newest([event.changed for event in found.events]),
+        newest=_find_newest_revision(
+            [event.changed for event in found.events]
+        ),
     )
 
 
-def _newest(found: list[objects.Object]) -> int:
-    return max((one.meta.revision for one in found), default=0)
+def _find_newest_revision(found: list[objects.Object]) -> int:
+    return max((item.meta.revision for item in found), default=0)
 
 
-def _read_all(
+def _parse_records(
     found: list[objects.Object],
 ) -> tuple[deployment.EndpointRecord, ...]:
     records = []
-    for one in found:
+    for item in found:
         try:
-            records.append(_read(one))
+            records.append(_parse_record(item))
         except ValueError as error:
             logging.warning(
                 'endpoint not understood',
-                extra=logs.fields(name=one.meta.name, detail=str(error)),
+                extra=logs.fields(name=item.meta.name, detail=str(error)),
             )
     return tuple(records)
 
 
-def _read(found: objects.Object) -> deployment.EndpointRecord:
-    server = msgspec.json.decode(found.spec, type=_Server)
-    if server.state not in (_READY, _DRAINING):
-        raise ValueError(f'{server.state!r} is no state of an endpoint')
-    if not server.service:
-        raise ValueError('it names no service')
-    address = settings_file.parse_address(server.address)
+def _parse_record(found: objects.Object) -> deployment.EndpointRecord:
+    spec = msgspec.json.decode(found.spec, type=_EndpointSpec)
+    if spec.state not in (_READY_STATE, _DRAINING_STATE):
+        raise ValueError(f'unknown endpoint state {spec.state!r}')
+    if not spec.service:
+        raise ValueError('endpoint without a service')
+    address = settings_file.parse_address(spec.address)
     return deployment.EndpointRecord(
         identity=found.meta.name,
-        service=server.service,
+        service=spec.service,
         host=address.host,
         port=address.port,
-        data_centre=server.data_centre,
-        slots=server.slots,
-        leaving=server.state == _DRAINING,
-        born=server.born,
+        data_centre=spec.data_centre,
+        slots=spec.slots,
+        leaving=spec.state == _DRAINING_STATE,
+        born=spec.born,
     )
--- a/marigoldramp/platform/headers.py
+++ b/marigoldramp/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names and forms of the platform's headers."""
+"""Reads and writes the platform's HTTP headers."""
 
 import math
 
@@ -8,45 +8,45 @@
 from .. import logs
 from ..gateway import codecs
 
-#: Identifier of one attempt of a caller's; endpoints echo it.
-ATTEMPT = b'attempt-id'
-#: Milliseconds that are left for the answer.
-BUDGET = b'time-budget-ms'
-#: Last event of a stream that the caller has.
-LAST_EVENT = b'last-event-id'
-#: Tokens of the prompt, and the most tokens of the answer.
-TOKENS = b'token-counts'
-KEY = b'authorization'
-BEARER = 'bearer '
-#: Name of the customer, set by us whatever the caller sent.
+#: Identifies one attempt of a caller; endpoints echo it.
+ATTEMPT_ID = b'attempt-id'
+#: Milliseconds that are left until the answer must be complete.
+TIME_BUDGET_MS = b'time-budget-ms'
+#: Last event of a stream that the caller has received.
+LAST_EVENT_ID = b'last-event-id'
+#: Tokens of the prompt and maximum tokens of the answer, comma-separated.
+TOKEN_COUNTS = b'token-counts'
+AUTHORIZATION = b'authorization'
+BEARER_PREFIX = 'bearer '
+#: Name of the customer; the gateway replaces any value from the caller.
 CUSTOMER = b'tenant'
 #: The only endpoint that may run the request.
-ENDPOINT = b'expect-instance'
-#: Signature of the endpoint that made an answer.
-SEAL = b'runner-seal'
-#: The endpoint has not run the request.
-NOT_RUN = b'not-executed'
-#: Running and waiting requests and slots, with commas between them.
-LOAD = b'runner-load'
+EXPECTED_ENDPOINT = b'expect-instance'
+#: Signature of the endpoint that generated the answer.
+ENDPOINT_SIGNATURE = b'runner-seal'
+#: Present if the endpoint has not run the request.
+NOT_EXECUTED = b'not-executed'
+#: Running requests, waiting requests and slots, comma-separated.
+ENDPOINT_LOAD = b'runner-load'
 #: Set to ``1`` by an endpoint that is shutting down.
 LEAVING = b'server-leaving'
 #: Seconds that the sender of a request should wait before the next one; read
 #: from 503 responses only.
 RETRY_AFTER = b'retry-after'
-ENCODING = b'content-encoding'
+CONTENT_ENCODING = b'content-encoding'
 
-WRONG_ENDPOINT = 421
-UNAVAILABLE = 503
+WRONG_ENDPOINT_STATUS = 421
+UNAVAILABLE_STATUS = 503
 MILLISECONDS_PER_SECOND = 1000.0
 
-#: What we set ourselves, or must not pass on.
-_REPLACED = frozenset(
+#: Headers that the gateway sets itself, or must not forward.
+_NOT_FORWARDED = frozenset(
     (
-        BUDGET,
-        LAST_EVENT,
-        KEY,
+        TIME_BUDGET_MS,
+        LAST_EVENT_ID,
+        AUTHORIZATION,
         CUSTOMER,
-        ENDPOINT,
+        EXPECTED_ENDPOINT,
         b'content-length',
         b'expect',
     )
@@ -54,16 +54,16 @@
 
 
 class Codec(codecs.Codec):
-    """Headers of this platform."""
+    """Translates between the platform's headers and the gateway's facts."""
 
     def read_request(self, headers: codecs.Headers) -> codecs.RequestFacts:
         found = dict(headers)
-        prompt, answer = _read_tokens(found.get(TOKENS, b''))
+        prompt, answer = _read_tokens(found.get(TOKEN_COUNTS, b''))
         return codecs.RequestFacts(
-            attempt_id=found.get(ATTEMPT, b'').decode('latin-1'),
-            seconds=_read_seconds(found.get(BUDGET)),
-            key=_read_key(found.get(KEY, b'').decode('latin-1')),
-            last_event=found.get(LAST_EVENT, b'').decode('latin-1'),
+            attempt_id=found.get(ATTEMPT_ID, b'').decode('latin-1'),
+            seconds=_read_seconds(found.get(TIME_BUDGET_MS)),
+            key=_read_key(found.get(AUTHORIZATION, b'').decode('latin-1')),
+            last_event=found.get(LAST_EVENT_ID, b'').decode('latin-1'),
             prompt_tokens=prompt,
             answer_tokens=answer,
         )
@@ -74,15 +74,19 @@
         written = [
             pair
             for pair in asgi.keep_end_to_end(headers)
-            if pair[0] not in _REPLACED
+            if pair[0] not in _NOT_FORWARDED
         ]
-        left = max(1, int(outgoing.seconds * MILLISECONDS_PER_SECOND))
-        written.append((BUDGET, b'%d' % left))
-        written.append((ENDPOINT, outgoing.identity.encode('latin-1')))
+        left_ms = max(1, int(outgoing.seconds * MILLISECONDS_PER_SECOND))
+        written.append((TIME_BUDGET_MS, b'%d' % left_ms))
+        written.append(
+            (EXPECTED_ENDPOINT, outgoing.identity.encode('latin-1'))
+        )
         if outgoing.customer:
             written.append((CUSTOMER, outgoing.customer.encode('latin-1')))
         if outgoing.last_event:
-            written.append((LAST_EVENT, outgoing.last_event.encode('latin-1')))
+            written.append(
+                (LAST_EVENT_ID, outgoing.last_event.encode('latin-1'))
+            )
         return written
 
     def read_answer(
@@ -90,12 +94,12 @@
     ) -> codecs.AnswerFacts:
         found = dict(headers)
         return codecs.AnswerFacts(
-            attempt_id=found.get(ATTEMPT, b'').decode('latin-1'),
-            signed=SEAL in found,
-            not_run=NOT_RUN in found or status == WRONG_ENDPOINT,
-            has_unrequested_encoding=found.get(ENCODING, b'identity')
+            attempt_id=found.get(ATTEMPT_ID, b'').decode('latin-1'),
+            signed=ENDPOINT_SIGNATURE in found,
+            not_run=NOT_EXECUTED in found or status == WRONG_ENDPOINT_STATUS,
+            has_unrequested_encoding=found.get(CONTENT_ENCODING, b'identity')
             != b'identity',
-            load=_read_load(found.get(LOAD, b'')),
+            load=_read_load(found.get(ENDPOINT_LOAD, b'')),
             leaving=_read_leaving(status, headers),
             retry_after=_read_retry_after(status, headers),
         )
@@ -109,13 +113,13 @@
     except ValueError:
         raise ValueError('the time budget is not a number') from None
     if not 0.0 <= seconds < float('inf'):
-        raise ValueError('the time budget is not a number from 0 on')
+        raise ValueError('the time budget is not a finite number >= 0')
     return seconds
 
 
 def _read_key(text: str) -> str:
-    if text.lower().startswith(BEARER):
-        return text[len(BEARER) :].strip()
+    if text.lower().startswith(BEARER_PREFIX):
+        return text[len(BEARER_PREFIX) :].strip()
     return ''
 
 
@@ -140,7 +144,7 @@
     Returns false for a 421 response, which comes from another endpoint that
     now has the address.  Values other than ``1`` are logged and ignored.
     """
-    if status == WRONG_ENDPOINT:
+    if status == WRONG_ENDPOINT_STATUS:
         return False
     values = [text for name, text in headers if name == LEAVING]
     for text in values:
@@ -155,7 +159,7 @@
     Values that are not finite, non-negative numbers are logged and ignored.
     Returns 0 if no valid value remains or the status is not 503.
     """
-    if status != UNAVAILABLE:
+    if status != UNAVAILABLE_STATUS:
         return 0.0
     longest = 0.0
     for name, text in headers:
--- a/marigoldramp/platform/objects.py
+++ b/marigoldramp/platform/objects.py
@@ -28,7 +28,7 @@
 
 Reply = api_client.Reply
 Failure = api_client.Failure
-ResponseT = TypeVar('ResponseT')
+T = TypeVar('T')
 
 
 class Metadata(
@@ -378,8 +378,8 @@
 
 
 def _decode(
-    reply: Reply | Failure, expected_type: type[ResponseT]
-) -> ResponseT | store.Unavailable:
+    reply: Reply | Failure, expected_type: type[T]
+) -> T | store.Unavailable:
     if isinstance(reply, Failure):
         return store.Unavailable(detail=reply.detail)
     if reply.status != http.HTTPStatus.OK:
--- a/marigoldramp/platform/pages.py
+++ b/marigoldramp/platform/pages.py
@@ -1,4 +1,4 @@
-"""The platform's questions: is this entry ready, where do callers connect."""
+"""HTTP pages for the platform: readiness, and addresses for callers."""
 
 import msgspec
 
@@ -8,15 +8,15 @@
 
 READY_PATH = '/marigoldramp/ready'
 ADDRESSES_PATH = '/marigoldramp/resolve'
-#: Most addresses in one answer.
-MOST_ADDRESSES = 64
-#: Seconds for which callers are to keep an answer.  Shorter costs more
-#: questions; longer, and callers keep to an entry that has gone.
-KEEP_SECONDS = 1.0
+#: In one response.
+MAX_ADDRESSES = 64
+#: Time for which callers keep a response.  A shorter one costs more requests;
+#: with a longer one callers go on using a gateway that has stopped.
+DEFAULT_TTL_SECONDS = 1.0
 JSON_HEADERS = [(b'content-type', b'application/json')]
 
 
-class _Addresses(
+class _AddressesResponse(
     msgspec.Struct,
     kw_only=True,
     rename={'addresses': 'Addresses', 'seconds': 'TtlS'},
@@ -26,7 +26,7 @@
 
 
 def make(running: program.Program) -> adapter.Pages:
-    """Return the pages of a process."""
+    """Return the pages of a gateway."""
 
     async def show_readiness(exchange: inbound.Exchange) -> None:
         status = 404
@@ -38,15 +38,17 @@
         if exchange.head.path != ADDRESSES_PATH:
             await exchange.respond(status=404, headers=[], body=b'')
             return
-        found = running.ready_addresses()[:MOST_ADDRESSES]
+        found = running.ready_addresses()[:MAX_ADDRESSES]
         if not found:
             await exchange.respond(status=503, headers=[], body=b'')
             return
         longest = running.settings.bounds.longest_addresses
         body = msgspec.json.encode(
-            _Addresses(
-                addresses=[f'{one.host}:{one.port}' for one in found],
-                seconds=min(KEEP_SECONDS, longest),
+            _AddressesResponse(
+                addresses=[
+                    f'{address.host}:{address.port}' for address in found
+                ],
+                seconds=min(DEFAULT_TTL_SECONDS, longest),
             )
         )
         await exchange.respond(status=200, headers=JSON_HEADERS, body=body)
--- a/marigoldramp/platform/ranks.py
+++ b/marigoldramp/platform/ranks.py
@@ -193,7 +193,7 @@
                 target=ORDER_PATH.encode(),
                 headers=[
                     (b'content-type', b'application/json'),
-                    (headers.ENDPOINT, identity.encode()),
+                    (headers.EXPECTED_ENDPOINT, identity.encode()),
                 ],
                 body=body,
                 seconds=compute_order_timeout(
@@ -218,7 +218,7 @@
                 identity=identity,
                 method=b'GET',
                 target=path.encode(),
-                headers=[(headers.ENDPOINT, identity.encode())],
+                headers=[(headers.EXPECTED_ENDPOINT, identity.encode())],
                 body=b'',
                 seconds=MAX_READ_SECONDS,
             )
--- a/marigoldramp/platform/settings_file.py
+++ b/marigoldramp/platform/settings_file.py
@@ -9,14 +9,14 @@
 from ..gateway import retry_budget
 from ..gateway import settings
 
-#: Names the settings file.
-PATH_VARIABLE = 'MARIGOLDRAMP_BOOT'
-#: Where metrics are served; ``deploy/system.toml`` names the same port.
+#: Environment variable that holds the path of the settings file.
+SETTINGS_PATH_VARIABLE = 'MARIGOLDRAMP_BOOT'
+#: Port that serves metrics; ``deploy/system.toml`` has the same number.
 METRICS_PORT = 9464
 MILLISECONDS_PER_SECOND = 1000.0
-BYTES_A_MEGABIT = 125_000.0
+BYTES_PER_MEGABIT = 125_000.0
 
-Positive = Annotated[float, msgspec.Meta(gt=0)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
 
 
 class _Listen(
@@ -28,7 +28,12 @@
         'addresses': 'Directory',
     },
 ):
-    """Addresses as ``IP:PORT``; empty for what this process does not do."""
+    """Addresses as ``IP:PORT``; empty for what this process does not serve.
+
+    :ivar calls: where callers connect.
+    :ivar readiness: where the platform asks whether we accept requests.
+    :ivar addresses: where callers ask for gateway addresses.
+    """
 
     calls: str = ''
     readiness: str = ''
@@ -45,18 +50,19 @@
         'link_megabits': 'LinkMbps',
     },
 ):
-    """What the process may use.
+    """Resources that the process may use.
 
+    :ivar descriptors: sockets that it may open.
     :ivar core_share: part of one core.
-    :ivar core_speed: how many times as fast as a usual one that core is; the
-        name on the wire speaks of cores.
-    :ivar link_megabits: of the instance, a second.
+    :ivar core_speed: speed of that core as a multiple of a standard core's;
+        ``CpuCores`` is not a number of cores.
+    :ivar link_megabits: bandwidth of the instance's link, per second.
     """
 
     descriptors: int = 1024
-    core_share: Positive = 1.0
-    core_speed: Positive = 1.0
-    link_megabits: Positive = 1000.0
+    core_share: PositiveFloat = 1.0
+    core_speed: PositiveFloat = 1.0
+    link_megabits: PositiveFloat = 1000.0
 
 
 class _Bounds(
@@ -75,6 +81,19 @@
         'stall_ms': 'stall_ms',
     },
 ):
+    """Bounds that the operator sets for the whole deployment.
+
+    :ivar drain_ms: within which a leaving endpoint must get no new requests.
+    :ivar grace_s: between the request to stop and the forced stop.
+    :ivar apply_ms: within which a new configuration must be in force.
+    :ivar revoke_ms: after which a removed key must no longer work.
+    :ivar retry_ratio: retries as a share of the requests of a window.
+    :ivar retry_extra: retries allowed besides in each window.
+    :ivar fenced: endpoints check the fencing tokens of orders.
+    :ivar longest_addresses_s: for which callers may keep an address answer.
+    :ivar stall_ms: for which a group of ranks waits for a dead rank.
+    """
+
     drain_ms: float = 2000.0
     grace_s: float = 8.0
     apply_ms: float = 2000.0
@@ -91,7 +110,7 @@
     address: str
 
 
-class _File(
+class _SettingsFile(
     msgspec.Struct,
     kw_only=True,
     rename={
@@ -107,11 +126,11 @@
         'store': 'PlatformStore',
     },
 ):
-    """The part of the file that is used.
+    """The settings that the gateway uses; others in the file are ignored.
 
-    :ivar ports: first and last port for traffic between our processes.
-    :ivar seeds: control addresses of some instances; of these only the host
-        counts, as ports are the same on all instances.
+    :ivar ports: first and last port for traffic between gateways.
+    :ivar seeds: control addresses of some instances.  Only their hosts are
+        used, as the gateways' ports are the same on all instances.
     """
 
     instance: str
@@ -129,50 +148,53 @@
 def read(path: str) -> settings.Settings:
     """Read a settings file.
 
-    :raises OSError: it cannot be read.
-    :raises ValueError: it is not sound; the text names file and place.
+    :raises OSError: the file cannot be read.
+    :raises ValueError: it is invalid; the message names the file and, if
+        known, the line or setting.
     """
     with open(path, 'rb') as file:
         text = file.read()
     try:
         document = tomllib.loads(text.decode())
-        found = msgspec.convert(document, _File, strict=False)
-        return _build(found)
+        found = msgspec.convert(document, _SettingsFile, strict=False)
+        return _build_settings(found)
     except ValueError as error:
         raise ValueError(f'{path}: {error}') from error
 
 
-def path_from_environment() -> str:
+def read_path_from_environment() -> str:
     """Return the path of the settings file.
 
-    :raises ValueError: the platform has not named one.
+    :raises ValueError: the environment variable is not set.
     """
-    path = os.environ.get(PATH_VARIABLE, '')
+    path = os.environ.get(SETTINGS_PATH_VARIABLE, '')
     if not path:
-        raise ValueError(f'the variable {PATH_VARIABLE} is not set')
+        raise ValueError(
+            f'environment variable {SETTINGS_PATH_VARIABLE} is not set'
+        )
     return path
 
 
 def parse_address(text: str) -> settings.Address:
-    """Return the address in a text ``IP:PORT``.
+    """Return the address in a text of the form ``IP:PORT``.
 
-    :raises ValueError: there is none.
+    :raises ValueError: the text has another form.
     """
     host, colon, port = text.rpartition(':')
     if not colon or not host or not port.isdigit():
-        raise ValueError(f'{text!r} is not an address and a port')
+        raise ValueError(f'{text!r} is not of the form IP:PORT')
     return settings.Address(host=host, port=int(port))
 
 
-def _build(found: _File) -> settings.Settings:
+def _build_settings(found: _SettingsFile) -> settings.Settings:
     peer_port = found.ports[0]
     return settings.Settings(
         instance=found.instance,
         data_centre=found.data_centre,
         region=found.region,
-        calls=_parse_optional(found.listen.calls),
-        readiness=_parse_optional(found.listen.readiness),
-        addresses=_parse_optional(found.listen.addresses),
+        calls=_parse_optional_address(found.listen.calls),
+        readiness=_parse_optional_address(found.listen.readiness),
+        addresses=_parse_optional_address(found.listen.addresses),
         peers=settings.Address(host=found.host, port=peer_port),
         metrics=settings.Address(host=found.host, port=METRICS_PORT),
         seeds=tuple(
@@ -182,7 +204,7 @@
         store=parse_address(found.store.address),
         descriptors=found.limits.descriptors,
         cores=found.limits.core_share * found.limits.core_speed,
-        link_rate=found.limits.link_megabits * BYTES_A_MEGABIT,
+        link_rate=found.limits.link_megabits * BYTES_PER_MEGABIT,
         bounds=_build_bounds(found.bounds),
     )
 
@@ -204,5 +226,5 @@
     )
 
 
-def _parse_optional(text: str) -> settings.Address | None:
+def _parse_optional_address(text: str) -> settings.Address | None:
     return parse_address(text) if text else None
--- a/tests/adapter/test_platform.py
+++ b/tests/adapter/test_platform.py
@@ -417,7 +417,7 @@
         'AtRev': 12,
     }
     made, client = make_store(reply(200, events))
-    source = endpoints.Source(objects=made)
+    source = endpoints.StoreEndpointSource(objects=made)
     found = await source.watch(after=5, seconds=2.0)
     assert [(one.identity, one.leaving) for one in found.records] == [
         ('i-1', True)
@@ -432,7 +432,7 @@
     broken['Spec']['Address'] = 'nowhere'
     page = {'Items': [broken, make_server('i-2')], 'AtRev': 3}
     made, _ = make_store(reply(200, page))
-    found = await endpoints.Source(objects=made).list_all()
+    found = await endpoints.StoreEndpointSource(objects=made).list_all()
     assert [one.identity for one in found.records] == ['i-2']
 
 
@@ -492,7 +492,7 @@
         'AtRev': 12,
     }
     made, _ = make_store(reply(200, page), reply(200, events))
-    source = endpoints.Source(objects=made)
+    source = endpoints.StoreEndpointSource(objects=made)
     listed = await source.list_all()
     changed = await source.watch(after=5, seconds=2.0)
     assert [one.identity for one in listed.records] == ['i-2']
@@ -504,14 +504,14 @@
     page = {'Items': [break_server(State='???'), make_server('i-2')]}
     body = msgspec.json.encode(page).replace(b'???', b'\xff\xfe')
     made, _ = make_store(api_client.Reply(status=200, headers=[], body=body))
-    listed = await endpoints.Source(objects=made).list_all()
+    listed = await endpoints.StoreEndpointSource(objects=made).list_all()
     assert [one.identity for one in listed.records] == ['i-2']
 
 
 async def test_list_without_a_name_to_go_on_from_is_no_list():
     page = {'Items': ['text'], 'More': True, 'AtRev': 3}
     made, _ = make_store(reply(200, page))
-    found = await endpoints.Source(objects=made).list_all()
+    found = await endpoints.StoreEndpointSource(objects=made).list_all()
     assert isinstance(found, store.Unavailable)
 
 
