--- a/marigoldramp/platform/days.py
+++ b/marigoldramp/platform/days.py
@@ -1,9 +1,10 @@
-"""Plays days with one kind of trouble each on the users' bench.
+"""Runs test days with one kind of disruption each on the users' test bench.
 
-Run by ``python -m marigoldramp.platform.days``.  The days stand in
-``deploy/days.toml``; traffic and lengths come from a calm day of the site
-that is played.  Each trouble is played as two days: ``often`` has it early,
-twice in a row and late; ``away`` has it while the platform's store is down.
+Run by ``python -m marigoldramp.platform.days``.  A day is one scenario of the
+bench; a site is the simulated deployment.  ``deploy/days.toml`` lists the
+disruptions; traffic and length are those of a quiet day of the site.  Each
+disruption has two days: on ``often`` it occurs early, twice in a row and
+late, on ``away`` while the platform's store is down.
 """
 
 import copy
@@ -24,28 +25,28 @@
 import anyio.to_thread
 import cyclopts
 
-Trouble = dict[str, Any]
+TomlTable = dict[str, Any]
 
-#: Seconds from the start of traffic at which a trouble comes, on the day that
-#: has it often.  Days of a site last some 30 s.
-OFTEN = (1.0, 9.0, 12.0, 22.0)
-#: The same on the day without a store, and when that is down.
-AWAY = (10.0, 16.0)
-STORE_DOWN: Trouble = {
+#: When a disruption occurs on the day ``often``, from the start of traffic.
+#: Days of a site last about 30 s.
+REPEATED_AT_SECONDS = (1.0, 9.0, 12.0, 22.0)
+#: The same on the day ``away``, during the outage of the store.
+OUTAGE_AT_SECONDS = (10.0, 16.0)
+STORE_OUTAGE: TomlTable = {
     'kind': 'platform_down',
     'how': 'silent',
     'at': 8.0,
     'for_s': 9.0,
 }
-#: Seconds for one day; a few times what one takes on a busy machine.
-LONGEST_DAY = 600.0
+#: Several times what a day takes on a busy machine.
+MAX_DAY_SECONDS = 600.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Day:
     """One day.
 
-    :ivar content: a site's entry for a day.
+    :ivar content: the day's table, as in a site's file.
     """
 
     name: str
@@ -54,11 +55,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Outcome:
-    """What came of a day.
+    """Result of a day.
 
     :ivar broken: how often each rule was broken.
-    :ivar served: part of the requests that were served at all.
-    :ivar fault: why the day could not be judged, if it could not.
+    :ivar served: share of the requests that were served at all.
+    :ivar worth: the bench's score of the day.
+    :ivar fault: why the day has no valid result; empty if it has one.
     """
 
     name: str
@@ -68,90 +70,106 @@
     fault: str
 
 
-def make_days(*, troubles: dict[str, Any], calm: Trouble) -> Iterator[Day]:
-    """Return all days, made from a calm day of a site."""
+def make_days(
+    *, disruptions: dict[str, Any], quiet_day: TomlTable
+) -> Iterator[Day]:
+    """Return all days, made from a quiet day of a site."""
     for part in ('plan', 'faults'):
-        for trouble in troubles[part]:
-            name = _name(trouble)
-            yield _make_day(f'{name}-often', calm, part, trouble, OFTEN, ())
+        for disruption in disruptions[part]:
+            name = _make_name(disruption)
             yield _make_day(
-                f'{name}-away', calm, part, trouble, AWAY, (STORE_DOWN,)
+                f'{name}-often',
+                quiet_day,
+                part,
+                disruption,
+                REPEATED_AT_SECONDS,
+                (),
+            )
+            yield _make_day(
+                f'{name}-away',
+                quiet_day,
+                part,
+                disruption,
+                OUTAGE_AT_SECONDS,
+                (STORE_OUTAGE,),
             )
 
 
-def _name(trouble: Trouble) -> str:
-    words = [trouble['kind'], *str(trouble.get('how', '')).split()]
+def _make_name(disruption: TomlTable) -> str:
+    words = [disruption['kind'], *str(disruption.get('how', '')).split()]
     return '-'.join(words)
 
 
 def _make_day(
     name: str,
-    calm: Trouble,
+    quiet_day: TomlTable,
     part: str,
-    trouble: Trouble,
+    disruption: TomlTable,
     times: tuple[float, ...],
-    more: tuple[Trouble, ...],
+    other_faults: tuple[TomlTable, ...],
 ) -> Day:
-    content = copy.deepcopy(calm)
-    content |= {'name': name, 'plan': [], 'faults': list(more)}
-    content[part] += [trouble | {'at': at} for at in times]
+    content = copy.deepcopy(quiet_day)
+    content |= {'name': name, 'plan': [], 'faults': list(other_faults)}
+    content[part] += [disruption | {'at': at} for at in times]
     return Day(name=name, content=content)
 
 
-def find_calm(site: dict[str, Any]) -> Trouble:
-    """Return the first calm day of a site.
+def find_quiet_day(site: dict[str, Any]) -> TomlTable:
+    """Return the first quiet day of a site.
 
     :raises ValueError: it has none.
     """
     for day in site['day']:
         if day['slot'] == 'quiet':
             return dict(day)
-    raise ValueError('the site has no calm day')
+    raise ValueError('the site has no quiet day')
 
 
-def render(day: Day) -> str:
+def render_toml(day: Day) -> str:
     """Return a day as TOML."""
     lines = ['[[day]]']
     for key, value in day.content.items():
-        lines.append(f'{key} = {_render(value)}')
+        lines.append(f'{key} = {_render_value(value)}')
     return '\n'.join(lines) + '\n'
 
 
-def _render(value: Any) -> str:
+def _render_value(value: Any) -> str:
     match value:
         case dict():
-            inner = (f'{key} = {_render(one)}' for key, one in value.items())
+            inner = (
+                f'{key} = {_render_value(item)}' for key, item in value.items()
+            )
             return '{ ' + ', '.join(inner) + ' }'
         case list() | tuple():
-            return '[' + ', '.join(_render(one) for one in value) + ']'
+            return '[' + ', '.join(_render_value(item) for item in value) + ']'
         case _:
             return json.dumps(value)
 
 
 def read_report(*, name: str, text: str) -> Outcome:
     """Return the outcome in a report of the bench."""
-    found = json.loads(text)
+    report = json.loads(text)
     return Outcome(
         name=name,
-        broken=dict(found['breaks']),
-        served=found['served'],
-        worth=found['G'],
-        fault=found['fault'] or '',
+        broken=dict(report['breaks']),
+        served=report['served'],
+        worth=report['G'],
+        fault=report['fault'] or '',
     )
 
 
-def _play(bench: str, site: str, day: Day, why: str) -> Outcome:
+def _run_day(bench: str, site: str, day: Day, why: str) -> Outcome:
     with tempfile.TemporaryDirectory() as folder:
         written = pathlib.Path(folder, 'day.toml')
-        written.write_text(render(day))
+        written.write_text(render_toml(day))
         report = pathlib.Path(folder, 'report.json')
         arguments = [bench, 'run', site, str(written), '--report']
         arguments += [str(report), '--why', f'{why}: {day.name}']
-        done = subprocess.run(
-            arguments, capture_output=True, text=True, timeout=LONGEST_DAY
+        completed = subprocess.run(
+            arguments, capture_output=True, text=True, timeout=MAX_DAY_SECONDS
         )
         if not report.exists():
-            lines = (done.stdout + done.stderr).strip().splitlines()
+            lines = (completed.stdout + completed.stderr).strip().splitlines()
             detail = lines[-1] if lines else 'no output'
             return Outcome(
                 name=day.name, broken={}, served=0.0, worth=0.0, fault=detail
@@ -159,22 +177,22 @@
         return read_report(name=day.name, text=report.read_text())
 
 
-async def _play_all(
+async def _run_days(
     bench: str, site: str, days: list[Day], jobs: int, why: str
 ) -> list[Outcome]:
     limiter = anyio.CapacityLimiter(jobs)
     outcomes: dict[str, Outcome] = {}
 
-    async def play(day: Day) -> None:
+    async def run(day: Day) -> None:
         outcome = await anyio.to_thread.run_sync(
-            _play, bench, site, day, why, limiter=limiter
+            _run_day, bench, site, day, why, limiter=limiter
         )
         outcomes[day.name] = outcome
         print(_describe(outcome), flush=True)
 
     async with anyio.create_task_group() as tasks:
         for day in days:
-            tasks.start_soon(play, day)
+            tasks.start_soon(run, day)
     return [outcomes[day.name] for day in days]
 
 
@@ -188,7 +206,7 @@
     )
 
 
-def play(
+def run(
     site: str,
     *,
     bench: str,
@@ -200,32 +218,37 @@
     ] = 4,
     why: str = 'Days with one kind of trouble',
 ) -> int:
-    """Play the days of a site and print a table; 1 if a rule was broken.
+    """Run the days of a site and print a table.
+
+    Exits with 1 if a rule was broken or a day has no valid result.
 
     :param site: the site's file.
     :param bench: the bench's program.
-    :param days: the troubles.
-    :param only: play the days whose names begin so.
-    :param part: play only one of the two days of each trouble.
-    :param jobs: days played at once.
+    :param days: file of the disruptions.
+    :param only: run the days whose names begin with this.
+    :param part: run only one of the two days of each disruption.
+    :param jobs: days run at once.
     :param why: a line for the bench's journal.
     """
-    calm = find_calm(tomllib.loads(pathlib.Path(site).read_text()))
-    troubles = tomllib.loads(days.read_text())
+    quiet_day = find_quiet_day(tomllib.loads(pathlib.Path(site).read_text()))
+    disruptions = tomllib.loads(days.read_text())
     ending = '' if part == 'all' else f'-{part}'
-    chosen = [
+    selected = [
         day
-        for day in make_days(troubles=troubles, calm=calm)
+        for day in make_days(disruptions=disruptions, quiet_day=quiet_day)
         if day.name.startswith(only) and day.name.endswith(ending)
     ]
     print(f'{"day":36} served  worth  rules broken', flush=True)
     outcomes = anyio.run(
-        functools.partial(_play_all, bench, site, chosen, jobs, why)
+        functools.partial(_run_days, bench, site, selected, jobs, why)
+    )
+    failed = [item.name for item in outcomes if item.broken or item.fault]
+    print(
+        f'{len(outcomes)} days, {len(failed)} failed: '
+        f'{" ".join(failed) or "none"}'
     )
-    bad = [one.name for one in outcomes if one.broken or one.fault]
-    print(f'{len(outcomes)} days, {len(bad)} red: {" ".join(bad) or "none"}')
-    return 1 if bad else 0
+    return 1 if failed else 0
 
 
 if __name__ == '__main__':
-    sys.exit(cyclopts.run(play))
+    sys.exit(cyclopts.run(run))
--- a/marigoldramp/platform/endpoints.py
+++ b/marigoldramp/platform/endpoints.py
@@ -112,9 +112,9 @@
 def _parse_record(found: objects.Object) -> deployment.EndpointRecord:
     spec = msgspec.json.decode(found.spec, type=_EndpointSpec)
     if spec.state not in (_READY_STATE, _DRAINING_STATE):
-        raise ValueError(f'unknown endpoint state {spec.state!r}')
+        raise ValueError(f'{spec.state!r} is not an endpoint state')
     if not spec.service:
-        raise ValueError('endpoint without a service')
+        raise ValueError('service is empty')
     address = settings_file.parse_address(spec.address)
     return deployment.EndpointRecord(
         identity=found.meta.name,
--- a/tests/adapter/test_days.py
+++ b/tests/adapter/test_days.py
@@ -1,4 +1,4 @@
-"""Tests of the days with one kind of trouble."""
+"""Tests of the days with one kind of disruption."""
 
 import json
 import pathlib
@@ -8,8 +8,8 @@
 
 from marigoldramp.platform import days
 
-FILE = pathlib.Path(__file__).parents[2] / 'deploy' / 'days.toml'
-CALM = {
+DISRUPTIONS_FILE = pathlib.Path(__file__).parents[2] / 'deploy' / 'days.toml'
+QUIET_DAY = {
     'name': 'calm',
     'slot': 'quiet',
     'seed': 5,
@@ -19,39 +19,39 @@
 }
 
 
-def make_all():
-    troubles = tomllib.loads(FILE.read_text())
-    return list(days.make_days(troubles=troubles, calm=CALM))
+def make_days():
+    disruptions = tomllib.loads(DISRUPTIONS_FILE.read_text())
+    return list(days.make_days(disruptions=disruptions, quiet_day=QUIET_DAY))
 
 
-def test_each_day_is_sound_and_has_a_name_of_its_own():
-    made = make_all()
+def test_each_day_is_valid_toml_and_has_a_unique_name():
+    made = make_days()
     assert len({day.name for day in made}) == len(made)
     for day in made:
-        read = tomllib.loads(days.render(day))['day'][0]
-        assert read == day.content
-        assert read['traffic'] == CALM['traffic']
+        parsed = tomllib.loads(days.render_toml(day))['day'][0]
+        assert parsed == day.content
+        assert parsed['traffic'] == QUIET_DAY['traffic']
 
 
 @pytest.mark.parametrize(
     ('name', 'times'),
     [
-        ('roll_term-leader-busy-often', days.OFTEN),
-        ('node_freeze-giver-away', days.AWAY),
+        ('roll_term-leader-busy-often', days.REPEATED_AT_SECONDS),
+        ('node_freeze-giver-away', days.OUTAGE_AT_SECONDS),
     ],
 )
-def test_a_day_has_one_kind_of_trouble(name, times):
-    day = next(day for day in make_all() if day.name == name)
+def test_day_has_one_kind_of_disruption(name, times):
+    day = next(day for day in make_days() if day.name == name)
     events = [*day.content['plan'], *day.content['faults']]
     kind = name.partition('-')[0]
     assert tuple(one['at'] for one in events if one['kind'] == kind) == times
     others = [one for one in events if one['kind'] != kind]
-    assert others == ([days.STORE_DOWN] if name.endswith('away') else [])
+    assert others == ([days.STORE_OUTAGE] if name.endswith('away') else [])
 
 
-def test_site_without_a_calm_day_is_refused():
-    with pytest.raises(ValueError, match='no calm day'):
-        days.find_calm({'day': [{'slot': 'trouble'}]})
+def test_site_without_a_quiet_day_is_refused():
+    with pytest.raises(ValueError, match='no quiet day'):
+        days.find_quiet_day({'day': [{'slot': 'trouble'}]})
 
 
 def test_broken_rules_are_read_from_a_report():
