--- a/tests/adapter/test_platform.py
+++ b/tests/adapter/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of what translates between the platform and the product."""
+"""Tests of the adapter between the platform's protocol and the gateway."""
 
 import pathlib
 import re
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    ('old', 'new', 'told'),
+    ('old', 'new', 'expected_text'),
     [
         ('Ip = "10.1.0.40"\n', '', 'Ip'),
         ('[7340, 7355]', '"x"', 'InternalPorts'),
@@ -78,13 +78,15 @@
         ('Region = "bts"', 'Region = ', 'line 4'),
     ],
 )
-def test_settings_that_are_not_sound_are_told(tmp_path, old, new, told):
+def test_invalid_settings_name_the_file_and_the_setting(
+    tmp_path, old, new, expected_text
+):
     path = tmp_path / 'local.toml'
     path.write_text(SETTINGS.replace(old, new))
     with pytest.raises(ValueError) as error:
         settings_file.read(str(path))
     assert str(path) in str(error.value)
-    assert told in str(error.value)
+    assert expected_text in str(error.value)
 
 
 def make_document(**more):
@@ -156,14 +158,14 @@
         ({'RouteKind': 'unheard-of'}, deployment.RetryPolicy.FORBIDDEN),
     ],
 )
-def test_what_may_be_repeated(more, policy):
+def test_retry_policy_by_route_kind(more, policy):
     assert (
         configuration.decode(make_document(**more)).routes[0].retry_policy
         is policy
     )
 
 
-def test_split_of_a_route():
+def test_traffic_split_of_a_route():
     shares = [
         {'Service': 's', 'Weight': 90},
         {'Service': 't', 'Weight': 10},
@@ -172,7 +174,7 @@
     assert [target.weight for target in found.routes[0].targets] == [90, 10]
 
 
-def test_configuration_that_is_not_sound_names_the_place():
+def test_invalid_configuration_names_the_field():
     with pytest.raises(ValueError, match=r'\$.Routes\[0\].TimeoutMs'):
         configuration.decode(make_document(TimeoutMs='soon'))
 
@@ -196,12 +198,12 @@
 
 
 @pytest.mark.parametrize('text', [b'soon', b'-1', b'inf', b'nan'])
-def test_budget_that_is_no_time_is_refused(text):
+def test_invalid_time_budget_is_refused(text):
     with pytest.raises(ValueError, match='time budget'):
         headers.Codec().read_request([(b'time-budget-ms', text)])
 
 
-def test_headers_to_an_endpoint():
+def test_request_headers_to_an_endpoint():
     sent = headers.Codec().write_request(
         [
             (b'host', b'a'),
@@ -299,7 +301,7 @@
 
 
 class FakeClient:
-    """Answers calls of the store from a list."""
+    """Object API client that returns prepared replies in order."""
 
     def __init__(self, *replies):
         self.replies = list(replies)
@@ -324,36 +326,36 @@
 
 
 def make_store(*replies):
-    made = objects.ObjectStore(
+    object_store = objects.ObjectStore(
         address=outbound.Address(host='127.0.0.1', port=1)
     )
-    made._client = FakeClient(*replies)
-    return made, made._client
+    object_store._client = FakeClient(*replies)
+    return object_store, object_store._client
 
 
 KEY = store.Key(kind='leases', name='g')
-LOST = api_client.Failure(begun=True, detail='cut')
-UNSENT = api_client.Failure(begun=False, detail='refused')
+LOST_REPLY = api_client.Failure(begun=True, detail='cut')
+UNSENT_REQUEST = api_client.Failure(begun=False, detail='refused')
 
 
 @pytest.mark.parametrize(
-    ('replied', 'kind'),
+    ('store_reply', 'kind'),
     [
         (reply(200, make_object('g', a=1)), store.Stored),
         (reply(404), store.Absent),
         (reply(503), store.Unavailable),
         (reply(429), store.Unavailable),
         (reply(200), store.Unavailable),
-        (LOST, store.Unavailable),
+        (LOST_REPLY, store.Unavailable),
     ],
 )
-async def test_read_of_an_object(replied, kind):
-    made, _ = make_store(replied)
-    assert isinstance(await made.read(key=KEY), kind)
+async def test_read_of_an_object(store_reply, kind):
+    object_store, _ = make_store(store_reply)
+    assert isinstance(await object_store.read(key=KEY), kind)
 
 
 @pytest.mark.parametrize(
-    ('expected', 'method', 'replied', 'kind'),
+    ('expected', 'method', 'store_reply', 'kind'),
     [
         (0, 'POST', reply(201, make_object('g')), store.Written),
         (0, 'POST', reply(409, make_object('g')), store.Conflict),
@@ -364,13 +366,15 @@
         (5, 'PUT', reply(429), store.Unavailable),
         (5, 'PUT', reply(500), store.Uncertain),
         (5, 'PUT', reply(200), store.Uncertain),
-        (5, 'PUT', LOST, store.Uncertain),
-        (5, 'PUT', UNSENT, store.Unavailable),
+        (5, 'PUT', LOST_REPLY, store.Uncertain),
+        (5, 'PUT', UNSENT_REQUEST, store.Unavailable),
     ],
 )
-async def test_conditional_write(expected, method, replied, kind):
-    made, client = make_store(replied)
-    found = await made.write(key=KEY, value=b'{"a":1}', expected=expected)
+async def test_conditional_write(expected, method, store_reply, kind):
+    object_store, client = make_store(store_reply)
+    found = await object_store.write(
+        key=KEY, value=b'{"a":1}', expected=expected
+    )
     assert isinstance(found, kind)
     sent = client.requests[0]
     assert sent.method == method
@@ -379,23 +383,25 @@
     assert body['Metadata'] == {'Name': 'g', 'Revision': expected}
 
 
-async def test_list_goes_on_page_by_page():
+async def test_list_reads_all_pages():
     first = {'Items': [make_object('a')], 'More': True, 'AtRev': 7}
     second = {'Items': [make_object('b')], 'More': False, 'AtRev': 9}
-    made, client = make_store(reply(200, first), reply(200, second))
-    found = await made.list_objects(kind='x')
+    object_store, client = make_store(reply(200, first), reply(200, second))
+    found = await object_store.list_objects(kind='x')
     assert [one.key.name for one in found.objects] == ['a', 'b']
     assert found.version == 7
     assert client.requests[1].path.endswith('?After=a')
 
 
-async def test_list_that_breaks_off_is_no_list():
+async def test_list_fails_if_a_page_fails():
     first = {'Items': [make_object('a')], 'More': True, 'AtRev': 7}
-    made, _ = make_store(reply(200, first), LOST)
-    assert isinstance(await made.list_objects(kind='x'), store.Unavailable)
+    object_store, _ = make_store(reply(200, first), LOST_REPLY)
+    assert isinstance(
+        await object_store.list_objects(kind='x'), store.Unavailable
+    )
 
 
-def make_server(name, state='ready', **more):
+def make_endpoint_object(name, state='ready', **more):
     return make_object(
         name,
         Service='s',
@@ -407,17 +413,20 @@
     )
 
 
-async def test_endpoints_are_followed():
+async def test_watch_returns_the_last_state_of_endpoints():
     events = {
         'events': [
-            {'Object': make_server('i-1'), 'Deleted': False},
-            {'Object': make_server('i-1', 'draining'), 'Deleted': False},
-            {'Object': make_server('i-2'), 'Deleted': True},
+            {'Object': make_endpoint_object('i-1'), 'Deleted': False},
+            {
+                'Object': make_endpoint_object('i-1', 'draining'),
+                'Deleted': False,
+            },
+            {'Object': make_endpoint_object('i-2'), 'Deleted': True},
         ],
         'AtRev': 12,
     }
-    made, client = make_store(reply(200, events))
-    source = endpoints.StoreEndpointSource(objects=made)
+    object_store, client = make_store(reply(200, events))
+    source = endpoints.StoreEndpointSource(objects=object_store)
     found = await source.watch(after=5, seconds=2.0)
     assert [(one.identity, one.leaving) for one in found.records] == [
         ('i-1', True)
@@ -427,39 +436,53 @@
     assert client.requests[0].path.endswith('?Watch=5&WaitMs=2000')
 
 
-async def test_endpoint_that_cannot_be_read_hides_no_other():
-    broken = make_server('i-1')
-    broken['Spec']['Address'] = 'nowhere'
-    page = {'Items': [broken, make_server('i-2')], 'AtRev': 3}
-    made, _ = make_store(reply(200, page))
-    found = await endpoints.StoreEndpointSource(objects=made).list_all()
+async def test_invalid_address_does_not_hide_other_endpoints():
+    invalid = make_endpoint_object('i-1')
+    invalid['Spec']['Address'] = 'nowhere'
+    page = {'Items': [invalid, make_endpoint_object('i-2')], 'AtRev': 3}
+    object_store, _ = make_store(reply(200, page))
+    found = await endpoints.StoreEndpointSource(
+        objects=object_store
+    ).list_all()
     assert [one.identity for one in found.records] == ['i-2']
 
 
-def break_server(**more):
-    """Return an entry of an endpoint in which fields are other ones."""
-    made = make_server('i-1')
-    made['Spec'] = {
+def make_invalid_endpoint(**more):
+    """Return an endpoint's object with fields replaced; None removes one."""
+    endpoint_object = make_endpoint_object('i-1')
+    endpoint_object['Spec'] = {
         name: value
-        for name, value in (made['Spec'] | more).items()
+        for name, value in (endpoint_object['Spec'] | more).items()
         if value is not None
     }
-    return made
-
-
-BROKEN = [
-    pytest.param(break_server(Service=None), id='no service'),
-    pytest.param(break_server(Service=4), id='service of another type'),
-    pytest.param(break_server(Service=''), id='service without a name'),
-    pytest.param(break_server(Address=None), id='no address'),
-    pytest.param(break_server(Address='nowhere'), id='address without port'),
-    pytest.param(break_server(Zone=None), id='no data centre'),
-    pytest.param(break_server(Slots=None), id='no slots'),
-    pytest.param(break_server(Slots='six'), id='slots of another type'),
-    pytest.param(break_server(State=None), id='no state'),
-    pytest.param(break_server(State='resting'), id='unknown state'),
-    pytest.param(break_server(State=True), id='state of another type'),
-    pytest.param(break_server(born='today'), id='start of another type'),
+    return endpoint_object
+
+
+INVALID_OBJECTS = [
+    pytest.param(make_invalid_endpoint(Service=None), id='no service'),
+    pytest.param(
+        make_invalid_endpoint(Service=4), id='service of another type'
+    ),
+    pytest.param(
+        make_invalid_endpoint(Service=''), id='service without a name'
+    ),
+    pytest.param(make_invalid_endpoint(Address=None), id='no address'),
+    pytest.param(
+        make_invalid_endpoint(Address='nowhere'), id='address without port'
+    ),
+    pytest.param(make_invalid_endpoint(Zone=None), id='no data centre'),
+    pytest.param(make_invalid_endpoint(Slots=None), id='no slots'),
+    pytest.param(
+        make_invalid_endpoint(Slots='six'), id='slots of another type'
+    ),
+    pytest.param(make_invalid_endpoint(State=None), id='no state'),
+    pytest.param(make_invalid_endpoint(State='resting'), id='unknown state'),
+    pytest.param(
+        make_invalid_endpoint(State=True), id='state of another type'
+    ),
+    pytest.param(
+        make_invalid_endpoint(born='today'), id='start of another type'
+    ),
     pytest.param(
         {'Metadata': {'Name': 'i-1', 'Revision': 3}, 'Spec': 'x'},
         id='a value that is text',
@@ -475,24 +498,24 @@
 ]
 
 
-@pytest.mark.parametrize('broken', BROKEN)
-async def test_entry_of_another_writer_hides_no_other(broken):
-    """All entries lose all endpoints, or use one that is none.
+@pytest.mark.parametrize('invalid', INVALID_OBJECTS)
+async def test_invalid_object_does_not_hide_other_endpoints(invalid):
+    """Guards against losing all endpoints, or using an invalid one.
 
-    Sequence: another writer puts an entry among those of endpoints that
-    lacks a field, has one of another type, or no form at all.
+    Sequence: another program writes an object among the endpoints that lacks
+    a field, has a field of the wrong type, or is not an object at all.
     Cause: the list was decoded as a whole, and an unknown state as ready.
     """
-    page = {'Items': [broken, make_server('i-2')], 'AtRev': 3}
+    page = {'Items': [invalid, make_endpoint_object('i-2')], 'AtRev': 3}
     events = {
         'events': [
-            {'Object': broken, 'Deleted': False},
-            {'Object': make_server('i-2'), 'Deleted': False},
+            {'Object': invalid, 'Deleted': False},
+            {'Object': make_endpoint_object('i-2'), 'Deleted': False},
         ],
         'AtRev': 12,
     }
-    made, _ = make_store(reply(200, page), reply(200, events))
-    source = endpoints.StoreEndpointSource(objects=made)
+    object_store, _ = make_store(reply(200, page), reply(200, events))
+    source = endpoints.StoreEndpointSource(objects=object_store)
     listed = await source.list_all()
     changed = await source.watch(after=5, seconds=2.0)
     assert [one.identity for one in listed.records] == ['i-2']
@@ -500,18 +523,29 @@
     assert set(changed.removed) <= {'i-1'}
 
 
-async def test_bytes_that_are_no_text_hide_no_other():
-    page = {'Items': [break_server(State='???'), make_server('i-2')]}
+async def test_invalid_utf8_does_not_hide_other_endpoints():
+    page = {
+        'Items': [
+            make_invalid_endpoint(State='???'),
+            make_endpoint_object('i-2'),
+        ]
+    }
     body = msgspec.json.encode(page).replace(b'???', b'\xff\xfe')
-    made, _ = make_store(api_client.Reply(status=200, headers=[], body=body))
-    listed = await endpoints.StoreEndpointSource(objects=made).list_all()
+    object_store, _ = make_store(
+        api_client.Reply(status=200, headers=[], body=body)
+    )
+    listed = await endpoints.StoreEndpointSource(
+        objects=object_store
+    ).list_all()
     assert [one.identity for one in listed.records] == ['i-2']
 
 
-async def test_list_without_a_name_to_go_on_from_is_no_list():
+async def test_list_fails_if_a_page_has_no_name_to_continue_from():
     page = {'Items': ['text'], 'More': True, 'AtRev': 3}
-    made, _ = make_store(reply(200, page))
-    found = await endpoints.StoreEndpointSource(objects=made).list_all()
+    object_store, _ = make_store(reply(200, page))
+    found = await endpoints.StoreEndpointSource(
+        objects=object_store
+    ).list_all()
     assert isinstance(found, store.Unavailable)
 
 
@@ -541,18 +575,18 @@
     assert found == expected | {'FencingToken': 11, 'epoch': 2}
 
 
-#: Names that may stand elsewhere, as they are words of every HTTP program.
-COMMON = frozenset(('Retry-After', 'Authorization', 'Last-Event-Id'))
+#: Standard HTTP headers, which other packages may use too.
+COMMON_HEADERS = frozenset(('Retry-After', 'Authorization', 'Last-Event-Id'))
 
 
-def list_wire_names():
-    """Return the names that the adapter's sources use on the wire."""
+def list_protocol_names():
+    """Return the protocol names in the adapter's sources."""
     names = set()
     for path in (ROOT / 'marigoldramp' / 'platform').glob('*.py'):
         text = path.read_text()
         names.update(re.findall(r"'([A-Z][A-Za-z]+)'", text))
         names.update(re.findall(r"b'([a-z]+-[a-z-]+)'", text))
-    common = {name.lower() for name in COMMON}
+    common = {name.lower() for name in COMMON_HEADERS}
     usual = {'content-type', 'content-length', 'content-encoding'}
     return {
         name
@@ -562,8 +596,8 @@
     }
 
 
-def test_names_of_the_wire_stand_in_the_adapter_only():
-    names = list_wire_names()
+def test_protocol_names_are_used_in_the_adapter_only():
+    names = list_protocol_names()
     assert {'PathPrefix', 'attempt-id'} <= names
     faults = []
     for package in ('marigoldramp', 'marigoldrampplug'):
--- a/tests/adapter/test_ranks.py
+++ b/tests/adapter/test_ranks.py
@@ -1,4 +1,4 @@
-"""Tests of reaching ranks: reports, counts, experts and orders."""
+"""Tests of the HTTP client of ranks: reports, counts, experts and orders."""
 
 import gateway.fake_endpoint as fake
 import msgspec
@@ -9,8 +9,7 @@
 from marigoldramp.platform import ranks
 
 pytestmark = pytest.mark.anyio
-#: Bytes a second.
-LINK_RATE = 2_500_000.0
+LINK_BYTES_PER_SECOND = 2_500_000.0
 REPORT = {
     'group': {'Name': 'g', 'epoch': 2, 'rank': 3, 'State': 'open'},
     'size': 16,
@@ -22,18 +21,20 @@
     'pace': 1.6,
     'QueueDepth': 0,
 }
-PLAIN = {
+MINIMAL_REPORT = {
     'group': {'Name': 'g', 'epoch': 2, 'rank': 3, 'State': 'broken'},
     'size': 16,
 }
 
 
-async def ask(question, *scripts):
-    """Put a question to a rank that answers by scripts."""
+async def call_rank(call, *scripts):
+    """Call a fake rank that replies by scripts; return result and requests."""
     one = fake.FakeEndpoint(identity='i-1', scripts=scripts)
     async with one.serve():
         address = outbound.Address(host=fake.HOST, port=one.port)
-        found = await question(ranks.HttpRankApi(link_rate=LINK_RATE), address)
+        found = await call(
+            ranks.HttpRankApi(link_rate=LINK_BYTES_PER_SECOND), address
+        )
     return found, one.seen
 
 
@@ -65,7 +66,7 @@
             ),
         ),
         (
-            PLAIN,
+            MINIMAL_REPORT,
             rank_types.RankReport(
                 group='g',
                 epoch=2,
@@ -84,7 +85,7 @@
     ids=['whole', 'plain'],
 )
 async def test_report_is_read(body, expected):
-    found, seen = await ask(report, answer(body))
+    found, seen = await call_rank(report, answer(body))
     assert found == expected
     assert seen[0].headers['expect-instance'] == 'i-1'
 
@@ -100,9 +101,9 @@
     ],
     ids=['refused', 'type', 'syntax', 'cut', 'garbage'],
 )
-async def test_report_that_cannot_be_read_is_none(script):
-    """A leader that takes half a report for a state could mix maps."""
-    found, _ = await ask(report, script)
+async def test_unreadable_report_counts_as_no_reply(script):
+    """A leader that accepts a partial report could mix maps in a group."""
+    found, _ = await call_rank(report, script)
     assert isinstance(found, rank_types.NoReply)
     assert found.detail
 
@@ -114,12 +115,12 @@
     async def experts(api, address):
         return await api.experts(address=address, identity='i-1')
 
-    found, _ = await ask(
+    found, _ = await call_rank(
         counts, answer({'step': 4, 'epoch': 2, 'Counts': [3, 0]})
     )
     assert found == rank_types.RankCounts(epoch=2, step=4, counts=(3, 0))
     lists = {'ExpertMap': {'Version': 7, 'Experts': [[0, 2], [1]]}}
-    found, _ = await ask(experts, answer(lists))
+    found, _ = await call_rank(experts, answer(lists))
     assert found == rank_types.RankExperts(version=7, layers=((0, 2), (1,)))
 
 
@@ -137,7 +138,7 @@
     ids=['done', 'begun', 'unfit', 'unknown', 'old', 'cut', 'silent'],
 )
 async def test_outcome_of_an_order(script, expected):
-    """An order without a reply may yet be carried out, and is not refused."""
+    """An order without a reply may still take effect; it is not refused."""
 
     async def order(api, address):
         return await api.order(
@@ -148,7 +149,7 @@
             ),
         )
 
-    found, seen = await ask(order, script)
+    found, seen = await call_rank(order, script)
     assert len(seen) == 1
     if expected is None:
         assert isinstance(found, rank_types.NoReply)
@@ -157,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    ('size', 'link_rate', 'least', 'most'),
+    ('size', 'link_rate', 'min_seconds', 'max_seconds'),
     [
         (100, 2_500_000.0, 0.08, 0.1),
         (25_000, 2_500_000.0, 0.4, 0.6),
@@ -165,19 +166,21 @@
     ],
     ids=['small order', 'map on a narrow link', 'map on a wide link'],
 )
-def test_order_is_given_the_time_of_its_bytes(size, link_rate, least, most):
-    """No map is ever changed in a group of 192 ranks.
+def test_order_timeout_grows_with_its_size(
+    size, link_rate, min_seconds, max_seconds
+):
+    """Guards against a group of 192 ranks that can never change its map.
 
     Sequence: a leader sends a map of 25 KB to each rank; all that are sent at
     once need 0.1 s of its link of 20 Mbit/s; after 0.08 s each order counts as
     lost and is sent again, ten times, until the leader gives up.
-    Cause: a map was given the time of an order of a hundred bytes.
+    Cause: a map had the timeout of an order of a hundred bytes.
     """
     found = ranks.compute_order_timeout(size=size, link_rate=link_rate)
-    assert least <= found <= most
+    assert min_seconds <= found <= max_seconds
 
 
-async def test_each_rank_is_sent_the_whole_map():
+async def test_each_order_contains_its_own_map():
     layers = (((0, 1), (2, 3)), ((3, 0), (1, 2)))
     other = (((1, 0), (2, 3)), ((3, 0), (1, 2)))
 
@@ -193,7 +196,7 @@
                 ),
             )
 
-    _, seen = await ask(prepare, answer({}, 202))
+    _, seen = await call_rank(prepare, answer({}, 202))
     sent = [msgspec.json.decode(one.body)['ExpertMap'] for one in seen]
     assert sent == [
         [[list(held) for held in layer] for layer in one]
