--- a/marigoldramp/platform/configuration.py
+++ b/marigoldramp/platform/configuration.py
@@ -137,7 +137,7 @@
         'engine': 'Engine',
     },
 ):
-    """A service.
+    """Connection limit and engines of a service.
 
     :ivar connections: that one endpoint accepts from all callers together.
     """
--- a/marigoldramp/platform/eras.py
+++ b/marigoldramp/platform/eras.py
@@ -51,8 +51,8 @@
     """Tracks the store's era and reports restores.
 
     :ivar current: the newest known era; 0 before one is known.
-    :ivar restored_at: when a change to it was noticed, by ``clock``; minus
-        infinity if it is the first known era.
+    :ivar restored_at: when the last restore was noticed, by ``clock``; minus
+        infinity for none.  The first known era is not a restore.
     """
 
     __slots__ = ('_clock', '_has_era', '_callbacks', 'current', 'restored_at')
--- a/marigoldramp/platform/ranks.py
+++ b/marigoldramp/platform/ranks.py
@@ -42,6 +42,8 @@
 
 
 class _Armed(msgspec.Struct, kw_only=True, rename={'version': 'Version'}):
+    """A prepared map that takes effect when a step begins."""
+
     version: int
     step: int
 
