--- a/marigoldramp/platform/headers.py
+++ b/marigoldramp/platform/headers.py
@@ -113,7 +113,7 @@
     except ValueError:
         raise ValueError('the time budget is not a number') from None
     if not 0.0 <= seconds < float('inf'):
-        raise ValueError('the time budget is not a finite number >= 0')
+        raise ValueError('the time budget is not a number from 0 on')
     return seconds
 
 
