--- a/marigoldramp/gateway/__init__.py
+++ b/marigoldramp/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""An entry that reaches endpoints itself, without agents beside them."""
+"""A gateway that sends requests to endpoints directly, without agents."""
--- a/marigoldramp/gateway/adapter.py
+++ b/marigoldramp/gateway/adapter.py
@@ -1,4 +1,4 @@
-"""What a deployment's platform brings to a gateway."""
+"""The interface between a gateway and the platform it is deployed on."""
 
 from typing import Awaitable
 from typing import Callable
@@ -19,7 +19,18 @@
 
 
 class Adapter:
-    """What a deployment's platform brings; see the package ``platform``."""
+    """The platform-specific parts of a gateway.
+
+    The package ``platform`` implements them.
+
+    :param codec: reads and writes the headers of requests and answers.
+    :param configuration: source of the operator's configuration.
+    :param endpoint_source: source of the list of endpoints.
+    :param store: the platform's object store.
+    :param rank_api: sends orders and queries to ranks.
+    :param make_pages: creates the HTTP handlers for the platform.
+    :param read_settings: reads the settings again.
+    """
 
     __slots__ = (
         'codec',
@@ -52,7 +63,7 @@
 
 
 class Pages:
-    """The platform's own questions: readiness and addresses."""
+    """HTTP handlers for readiness checks and address queries."""
 
     __slots__ = ('readiness', 'addresses')
 
--- a/marigoldramp/gateway/deployment.py
+++ b/marigoldramp/gateway/deployment.py
@@ -1,15 +1,15 @@
-"""What the operator has configured: routes, services, customers, limits."""
+"""The operator's configuration: routes, services, customers and limits."""
 
 import dataclasses
 import enum
 
 
 class RetryPolicy(enum.Enum):
-    """What may happen to a request whose outcome is unknown.
+    """Whether a request with unknown outcome may be sent again.
 
-    :cvar ALLOWED: idempotent, so it may be sent again.
-    :cvar FORBIDDEN: it may run once at most.
-    :cvar RESUMED: a stream that another endpoint can go on with.
+    :cvar ALLOWED: the request is idempotent and may be sent again.
+    :cvar FORBIDDEN: the request may run once at most.
+    :cvar RESUMED: the request is a stream that another endpoint can resume.
     """
 
     ALLOWED = enum.auto()
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Target:
-    """A service to which a route leads, and its share of the requests."""
+    """A service of a route, weighted by its share of the requests."""
 
     service: str
     weight: float
@@ -27,17 +27,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Route:
-    """One route.
-
-    :ivar prefix: begins and ends with a slash.
-    :ivar attempts: endpoints on which one request may run at most.
-    :ivar timeout: seconds after which the caller has its final answer.
-    :ivar objective: seconds within which an answer counts in full; of a
-        stream, its first event.
-    :ivar longest_pause: seconds between two events of a stream above which
-        it counts as late; 0 for any.
+    """A route: requests for a host and path prefix, and how they are served.
+
+    :ivar prefix: path prefix, which begins and ends with a slash.
+    :ivar attempts: maximum number of endpoints on which a request may run.
+    :ivar timeout: seconds within which the caller gets the final answer.
+    :ivar objective: target latency in seconds within which an answer counts in
+        full; for a stream, that of its first event.
+    :ivar longest_pause: seconds between two events above which a stream counts
+        as late; 0 if any pause is accepted.
     :ivar priority: 0 is the most urgent.
-    :ivar public: no customer's key is needed.
+    :ivar public: requests need no customer key.
     :ivar streams: answers are server-sent events.
     """
 
@@ -59,19 +59,20 @@
 class Engine:
     """Published figures of a service's model engines; times in seconds.
 
-    :ivar slots: requests that run at once.
-    :ivar step: one token step with no request.
-    :ivar step_per_request: added to a step for each running request.
-    :ivar prompt_rate: prompt tokens that are read in a second.
+    :ivar slots: maximum number of concurrent requests.
+    :ivar step: duration of a token step without requests.
+    :ivar step_per_request: added duration of a step per running request.
+    :ivar prompt_rate: prompt tokens processed per second.
     :ivar mean_prompt_tokens: mean length of a prompt.
     :ivar mean_answer_tokens: mean length of an answer.
-    :ivar layers: sets of experts with a map of their own.
-    :ivar places: experts that a rank can hold in each layer.
-    :ivar spare: new experts that a rank can copy in each layer.
-    :ivar expert_bytes: weights of one expert.
-    :ivar link_rate: bytes a second at which weights are copied.
-    :ivar expert_share: part of the work that the experts do, 0 to 1.
-    :ivar stride: steps in one pass of the group.
+    :ivar layers: number of layers, each with its own experts and expert map.
+    :ivar experts: number of experts in each layer.
+    :ivar places: maximum number of experts that a rank holds in each layer.
+    :ivar spare: maximum number of experts that a rank copies into each layer.
+    :ivar expert_bytes: size of the weights of one expert.
+    :ivar link_rate: bytes per second at which weights are copied.
+    :ivar expert_share: fraction of the work done by the experts, 0 to 1.
+    :ivar stride: number of steps in one forward pass of the group.
     """
 
     slots: int
@@ -92,9 +93,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Service:
-    """A kind of endpoint.
+    """A service, run by any number of equivalent endpoints.
 
-    :ivar connections: that one endpoint accepts from all callers together.
+    :ivar connections: connections that each endpoint accepts in total.
+    :ivar engine: figures of the endpoints' model engine, ``None`` if they run
+        none.
     """
 
     name: str
@@ -104,7 +107,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Limits:
-    """Bounds on what callers send; sizes in bytes, times in seconds."""
+    """Limits on what callers send; sizes in bytes, times in seconds."""
 
     head_bytes: int
     body_bytes: int
@@ -114,7 +117,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Customer:
-    """A customer; its priority goes before that of the route."""
+    """A customer; its priority, if any, overrides that of the route."""
 
     name: str
     priority: int | None = None
@@ -124,7 +127,9 @@
 class Configuration:
     """One version of the operator's configuration.
 
-    :ivar customers: by key; empty where no keys are asked for.
+    :ivar customers: customers by key; empty if no keys are required.
+    :ivar requires_keys: requests need a customer key unless the route is
+        public.
     """
 
     version: int
@@ -137,11 +142,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class EndpointRecord:
-    """An endpoint as discovery shows it.
+    """An endpoint as listed by service discovery.
 
-    :ivar identity: names one endpoint, which may start again under it.
-    :ivar leaving: it must be given no new requests.
-    :ivar born: tells its starts apart and grows with them; 0 if unknown.
+    :ivar identity: name of the endpoint, which it keeps when it restarts.
+    :ivar slots: maximum number of concurrent requests.
+    :ivar leaving: the endpoint must get no new requests.
+    :ivar born: number that distinguishes starts of the endpoint and grows with
+        each; 0 if unknown.
     """
 
     identity: str
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,11 +1,11 @@
-"""Fixtures of the tests of the gateway."""
+"""Fixtures for the tests of the gateway."""
 
 import pytest
 
 
 @pytest.fixture
 def lines(caplog):
-    """Return a function that gives the fields of logged lines."""
+    """Return a function that finds the fields of all lines of a message."""
     caplog.set_level('INFO')
 
     def find(message):
