--- a/marigoldramp/gateway/configurations.py
+++ b/marigoldramp/gateway/configurations.py
@@ -1,11 +1,10 @@
-"""The configuration in force, and how sure we are that it is the newest.
-
-A watch that says nothing proves nothing: it may have gone silent.  Each entry
-therefore keeps the time at which its version was known to be the newest.
-That time comes from a read of the store, counted from when the read was
-*sent*, or from a peer that answers a question of ours, counted from when the
-question was sent.  A process that was frozen in between then finds its
-knowledge old, and not new.
+"""The configuration in force, and when it was last known to be the newest.
+
+A watch without events proves nothing, as its connection may have failed.  Each
+gateway therefore keeps the time at which its version was known to be the
+newest.  That time counts from when the read of the store, or the report that a
+peer echoes, was *sent*: a process that was frozen before it saw the answer
+finds its confirmation old.
 """
 
 import abc
@@ -21,11 +20,11 @@
 
 
 class ConfigurationSource(abc.ABC):
-    """Where the operator's configuration is kept."""
+    """The place where the operator's configuration is stored."""
 
     @abc.abstractmethod
     async def fetch(self) -> bytes | store.Absent | store.Unavailable:
-        """Return the newest document; never an older one."""
+        """Return the newest document, never an older one."""
 
     @abc.abstractmethod
     def decode(self, document: bytes) -> deployment.Configuration:
@@ -36,10 +35,12 @@
 
 
 class ActiveConfiguration:
-    """The configuration in force; it is only ever replaced by a newer one.
+    """The configuration in force, which is replaced only by a newer version.
 
-    :ivar document: the operator's text of it.
-    :ivar confirmed_at: when it was known to be the newest.
+    :ivar current: the decoded configuration, ``None`` before the first one.
+    :ivar document: its text as the operator wrote it.
+    :ivar routes: its routes, prepared for lookups.
+    :ivar confirmed_at: when it was last known to be the newest.
     """
 
     __slots__ = (
@@ -61,20 +62,21 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 for none."""
+        """Return the version in force, 0 for none."""
         return 0 if self.current is None else self.current.version
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call whenever another version has come into force."""
+        """Call a function whenever a new version comes into force."""
         self._callbacks.append(callback)
 
-    def take(self, document: bytes, *, newest_at: float) -> bool:
-        """Take a document that was the newest at a time.
+    def apply(self, document: bytes, *, newest_at: float) -> bool:
+        """Put a document into force unless its version is older.
 
+        :param newest_at: when it was the newest document.
         :returns: whether it is in force now.
         """
         if document == self.document and self.current is not None:
-            self._note(newest_at)
+            self._note_confirmation(newest_at)
             return True
         try:
             found = self._source.decode(document)
@@ -84,14 +86,14 @@
                 extra=logs.fields(detail=str(error), kept=self.version),
             )
             return False
-        return self._put(found, document, newest_at)
+        return self._activate(found, document, newest_at)
 
     def confirm(self, *, version: int, newest_at: float) -> None:
-        """Learn that a version was the newest at a time."""
+        """Record that a version was the newest at a time."""
         if self.current is not None and version == self.current.version:
-            self._note(newest_at)
+            self._note_confirmation(newest_at)
 
-    def _put(
+    def _activate(
         self,
         found: deployment.Configuration,
         document: bytes,
@@ -107,8 +109,8 @@
         self.current = found
         self.document = document
         self.routes = routes.RouteTable(routes=found.routes)
-        # Whatever the older version was known to hold, a newer one holds too.
-        self._note(newest_at)
+        # Confirmations of the older version hold for a newer one, too.
+        self._note_confirmation(newest_at)
         logging.info(
             'configuration in force',
             extra=logs.fields(
@@ -122,5 +124,5 @@
             callback()
         return True
 
-    def _note(self, newest_at: float) -> None:
+    def _note_confirmation(self, newest_at: float) -> None:
         self.confirmed_at = max(self.confirmed_at, newest_at)
--- a/marigoldramp/gateway/gossip.py
+++ b/marigoldramp/gateway/gossip.py
@@ -1,4 +1,4 @@
-"""Sends reports to peers and takes theirs."""
+"""Sends reports to peers and receives theirs."""
 
 import random as random_module
 from typing import Callable
@@ -14,36 +14,39 @@
 from . import peers
 from . import report_intervals
 
-#: Seconds between two tries of an address where nobody is heard.
-UNHEARD_PERIOD = 1.0
+#: Interval of reports to an address from which no report arrives.
+PROBE_INTERVAL_SECONDS = 1.0
 
-MakeReport = Callable[[peers.Peer | None, float], peer_reports.Report]
+BuildReport = Callable[[peers.Peer | None, float], peer_reports.Report]
 OnReport = Callable[[peer_reports.Report, frozenset[str]], None]
 
 
 class Gossip:
-    """The exchange of reports of one process.
-
-    :param make: returns the report for a peer, ``None`` for an address of
-        which only the place is known, and says when the next one comes.
-    :param take: takes a report that was not overtaken, and the endpoints
-        whose requests in flight may have changed by it.
-    :param leads: whether this entry leads a group of ranks.
+    """Exchanges reports with all peers of this gateway.
+
+    :param seeds: returns addresses at which peers may be reached at first.
+    :param build_report: returns the report for a peer, which announces the
+        given interval; the peer is ``None`` for an address from which no
+        report has arrived.
+    :param on_report: called with each report that is newer than the last one
+        of its sender, and the endpoints whose requests in flight may have
+        changed by it.
+    :param leads: returns whether this gateway leads a group of ranks.
     :param random: spreads reports to many peers over time.
     """
 
     __slots__ = (
         '_table',
         '_seeds',
-        '_make',
-        '_take',
+        '_build_report',
+        '_on_report',
         '_leads',
         '_clock',
         '_random',
         '_socket',
-        '_tried',
-        '_due',
-        '_led',
+        '_probed_at',
+        '_due_at',
+        '_was_leading',
         '_wake',
     )
 
@@ -52,23 +55,23 @@
         *,
         table: peers.PeerTable,
         seeds: Callable[[], tuple[outbound.Address, ...]],
-        make: MakeReport,
-        take: OnReport,
+        build_report: BuildReport,
+        on_report: OnReport,
         leads: Callable[[], bool],
         clock: Callable[[], float],
         random: random_module.Random,
     ) -> None:
         self._table = table
         self._seeds = seeds
-        self._make = make
-        self._take = take
+        self._build_report = build_report
+        self._on_report = on_report
         self._leads = leads
         self._clock = clock
         self._random = random
         self._socket: anyio.abc.UDPSocket | None = None
-        self._tried: dict[outbound.Address, float] = {}
-        self._due: dict[str, float] = {}
-        self._led = False
+        self._probed_at: dict[outbound.Address, float] = {}
+        self._due_at: dict[str, float] = {}
+        self._was_leading = False
         self._wake = anyio.Event()
 
     async def run(
@@ -77,7 +80,7 @@
         *,
         task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Exchange reports until cancelled."""
+        """Send and receive reports until cancelled."""
         async with await anyio.create_udp_socket(
             local_host=address.host, local_port=address.port
         ) as socket:
@@ -89,17 +92,17 @@
                 tasks.start_soon(self._send_all)
                 await self._receive(socket)
 
-    def hasten(self) -> None:
-        """Send the next reports at once, as something has changed."""
-        self._due.clear()
+    def send_now(self) -> None:
+        """Send the next reports at once."""
+        self._due_at.clear()
         self._wake.set()
 
     async def _receive(self, socket: anyio.abc.UDPSocket) -> None:
         async for data, source in socket:
-            self._hear(data, source[0])
+            self._handle_datagram(data, source[0])
 
-    def _hear(self, data: bytes, source: str) -> None:
-        """Take a datagram from a host."""
+    def _handle_datagram(self, data: bytes, source: str) -> None:
+        """Process a datagram from a host."""
         try:
             report = peer_reports.decode(data)
         except msgspec.MsgspecError as error:
@@ -108,32 +111,32 @@
                 extra=logs.fields(source=source, detail=str(error)),
             )
             return
-        touched = self._table.take(report)
+        touched = self._table.apply_report(report)
         if touched is None:
             return
         if not report.echo:
-            # It has just started and knows nothing of us.
-            self._due.pop(report.instance, None)
-        self._take(report, touched)
+            # The peer has just started and has not heard this gateway.
+            self._due_at.pop(report.instance, None)
+        self._on_report(report, touched)
 
     async def _send_all(self) -> None:
         while True:
-            self._table.drop_silent()
+            self._table.expire_silent()
             leads = self._leads()
-            if leads != self._led:
-                # All are to know at once, and when to expect the next one.
-                self._due.clear()
-                self._led = leads
-            periods = self._find_periods(leads)
+            if leads != self._was_leading:
+                # All peers learn at once who leads and of the new interval.
+                self._due_at.clear()
+                self._was_leading = leads
+            intervals = self._compute_intervals(leads)
             now = self._clock()
             for peer in self._table.live():
-                await self._send_if_due(peer, periods, now)
-            await self._try_unheard()
+                await self._send_if_due(peer, intervals, now)
+            await self._probe_unheard()
             self._wake = anyio.Event()
-            with anyio.move_on_after(min(periods.near, periods.remote)):
+            with anyio.move_on_after(min(intervals.near, intervals.remote)):
                 await self._wake.wait()
 
-    def _find_periods(self, leads: bool) -> report_intervals.ReportIntervals:
+    def _compute_intervals(self, leads: bool) -> report_intervals.Intervals:
         live = self._table.live()
         near = sum(self._table.is_near(peer) for peer in live)
         return report_intervals.compute_intervals(
@@ -143,39 +146,45 @@
     async def _send_if_due(
         self,
         peer: peers.Peer,
-        periods: report_intervals.ReportIntervals,
+        intervals: report_intervals.Intervals,
         now: float,
     ) -> None:
-        """Send a report by the time that the last one has promised."""
-        due = self._due.get(peer.instance)
-        tick = min(periods.near, periods.remote)
-        if due is not None and due >= now + tick:
+        """Send a report if the announced interval would else be exceeded."""
+        due = self._due_at.get(peer.instance)
+        shortest = min(intervals.near, intervals.remote)
+        if due is not None and due >= now + shortest:
             return
         is_near = self._table.is_near(peer)
-        period = periods.near if is_near else periods.remote
+        interval = intervals.near if is_near else intervals.remote
         await self._send(
             outbound.Address(host=peer.host, port=peer.port),
-            self._make(peer, period),
+            self._build_report(peer, interval),
         )
-        # All first reports go out at once; the next ones are spread.
-        part = 1.0 if due is not None else self._random.random()
-        self._due[peer.instance] = now + part * period
+        # All first reports go out at once; a random share of the interval
+        # spreads the next ones.
+        fraction = 1.0 if due is not None else self._random.random()
+        self._due_at[peer.instance] = now + fraction * interval
 
-    async def _try_unheard(self) -> None:
-        """Make ourselves known where somebody may live."""
+    async def _probe_unheard(self) -> None:
+        """Send reports to the addresses of seeds and of silent peers."""
         now = self._clock()
         heard = {
             outbound.Address(host=peer.host, port=peer.port)
             for peer in self._table.live()
         }
-        places = set(self._seeds())
+        addresses = set(self._seeds())
         for peer in self._table:
-            places.add(outbound.Address(host=peer.host, port=peer.port))
-        for place in places - heard:
-            if now - self._tried.get(place, float('-inf')) < UNHEARD_PERIOD:
+            addresses.add(outbound.Address(host=peer.host, port=peer.port))
+        for address in addresses - heard:
+            if (
+                now - self._probed_at.get(address, float('-inf'))
+                < PROBE_INTERVAL_SECONDS
+            ):
                 continue
-            self._tried[place] = now
-            await self._send(place, self._make(None, UNHEARD_PERIOD))
+            self._probed_at[address] = now
+            await self._send(
+                address, self._build_report(None, PROBE_INTERVAL_SECONDS)
+            )
 
     async def _send(
         self, address: outbound.Address, report: peer_reports.Report
@@ -186,7 +195,8 @@
                 peer_reports.encode(report), address.host, address.port
             )
         except OSError as error:
-            # A full buffer or an unreachable host; the next report follows.
+            # The buffer is full or the host unreachable; the next report
+            # follows soon.
             logging.info(
                 'report not sent',
                 extra=logs.fields(host=address.host, detail=str(error)),
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -1,7 +1,7 @@
-"""What entries fetch from each other by HTTP.
+"""What gateways fetch from each other over HTTP.
 
-An entry that the store turns away gets the configuration and the list of
-endpoints from a peer whose reports show that it knows more.
+A gateway that the platform's store does not answer fetches the configuration
+and the list of endpoints from a peer whose reports announce newer ones.
 """
 
 import random as random_module
@@ -25,14 +25,13 @@
 ENDPOINTS_PATH = '/endpoints'
 STATUS_PATH = '/status'
 SUSPECTS_PATH = '/suspects'
-#: Before the fingerprint of a request that is to run again.
+#: Followed by the fingerprint of a blocked request that may be sent again.
 RELEASE_PATH = '/release/'
-#: Seconds for one exchange with a peer.
-EXCHANGE_SECONDS = 1.0
+EXCHANGE_TIMEOUT_SECONDS = 1.0
 
 
 class EndpointList(msgspec.Struct, frozen=True, kw_only=True):
-    """Endpoints as one entry knows them."""
+    """The endpoints that one gateway knows, see :class:`.listings.Listing`."""
 
     newest: int
     revision: int = 0
@@ -40,12 +39,14 @@
     records: tuple[deployment.EndpointRecord, ...]
 
 
-class PeerPages:
-    """Answers what peers and operators ask.
+class PeerServer:
+    """Answers the HTTP requests of peers and operators.
 
-    :param describe: returns the state of this entry.
-    :param list_suspects: returns the suspects that this entry knows.
-    :param release: lets a request run again; whether it was held back.
+    :param describe: returns the status of this gateway.
+    :param list_suspects: returns the requests that this gateway suspects of
+        ending endpoints.
+    :param release: unblocks the request with a fingerprint; returns whether it
+        was blocked.
     """
 
     __slots__ = (
@@ -100,8 +101,8 @@
         await exchange.respond(status=status, headers=[], body=body)
 
 
-class PeerSource:
-    """Fetches from peers whose reports show that they know more."""
+class PeerClient:
+    """Fetches from peers whose reports announce newer information."""
 
     __slots__ = ('_peers', '_random')
 
@@ -112,13 +113,13 @@
         self._random = random
 
     async def fetch_configuration(self, version: int) -> bytes | None:
-        """Return the document of a version or a newer one, if one has it."""
+        """Return the document of at least this version, if a peer has it."""
         known = [
             peer
             for peer in self._peers.live()
             if peer.report is not None and peer.report.version >= version
         ]
-        for peer in self._order(known):
+        for peer in self._order_for_asking(known):
             found = await fetch(
                 address=_address(peer), path=CONFIGURATION_PATH
             )
@@ -126,12 +127,12 @@
                 return found
         return None
 
-    def _order(self, known: list[peers.Peer]) -> list[peers.Peer]:
+    def _order_for_asking(self, known: list[peers.Peer]) -> list[peers.Peer]:
         """Return peers in the order in which they are asked.
 
-        Those of our data centre come first, by chance: were all to ask the
-        first that knows more, its link would carry a document of hundreds of
-        kilobytes once for each entry.
+        Peers of the local data centre come first, in random order: if all
+        gateways asked the first peer with a new version, its link would carry
+        a document of hundreds of kilobytes once for each of them.
         """
         self._random.shuffle(known)
         return sorted(known, key=self._peers.is_near, reverse=True)
@@ -139,11 +140,11 @@
     async def fetch_endpoints(
         self, *, newer_than: int
     ) -> listings.Listing | None:
-        """Return the endpoints that some peer knows, if it knows more.
+        """Return the endpoints that a peer with a newer revision knows.
 
-        Those come first whose list is settled.  Near a part of the entries
-        that the store has turned away most lists are not for two seconds,
-        and an endpoint that has left would be used until then.
+        Peers whose list is settled come first.  Near gateways that the store
+        has turned away, most lists stay unsettled for two seconds, during
+        which an endpoint that has left would still be used.
         """
         known = [
             peer
@@ -153,8 +154,8 @@
             and peer.report.revision > newer_than
         ]
         ordered = sorted(
-            self._order(known),
-            key=lambda peer: _settled(peer) > newer_than,
+            self._order_for_asking(known),
+            key=lambda peer: _settled_revision(peer) > newer_than,
             reverse=True,
         )
         for peer in ordered:
@@ -164,7 +165,7 @@
         return None
 
 
-def _settled(peer: peers.Peer) -> int:
+def _settled_revision(peer: peers.Peer) -> int:
     return 0 if peer.report is None else peer.report.settled
 
 
@@ -173,7 +174,7 @@
 
 
 async def fetch(*, address: outbound.Address, path: str) -> bytes | None:
-    """Return a page of a peer, ``None`` if it could not be had."""
+    """Return the response of a peer, or ``None`` if the request failed."""
     reply = await outbound.exchange(
         pool=outbound.Pool(most_idle=0),
         address=address,
@@ -182,7 +183,7 @@
         target=path.encode(),
         headers=[],
         body=b'',
-        seconds=EXCHANGE_SECONDS,
+        seconds=EXCHANGE_TIMEOUT_SECONDS,
     )
     if isinstance(reply, outbound.NoReply) or reply.status != 200:
         return None
@@ -192,7 +193,7 @@
 async def fetch_status(
     *, address: outbound.Address
 ) -> status_module.Status | None:
-    """Return the state of an entry, ``None`` if it could not be had."""
+    """Return the status of a gateway, or ``None`` if the request failed."""
     body = await fetch(address=address, path=STATUS_PATH)
     if body is None:
         return None
@@ -205,9 +206,9 @@
 async def release(
     *, address: outbound.Address, fingerprint: str
 ) -> bool | None:
-    """Have an entry let a request run again; whether it was held back.
+    """Have a gateway unblock a request; return whether it was blocked.
 
-    :returns: ``None`` if the entry could not be asked.
+    :returns: ``None`` if the gateway did not answer.
     """
     reply = await outbound.exchange(
         pool=outbound.Pool(most_idle=0),
@@ -217,7 +218,7 @@
         target=f'{RELEASE_PATH}{fingerprint}'.encode(),
         headers=[],
         body=b'',
-        seconds=EXCHANGE_SECONDS,
+        seconds=EXCHANGE_TIMEOUT_SECONDS,
     )
     match reply:
         case outbound.Reply(status=200):
@@ -230,7 +231,7 @@
 async def fetch_suspects(
     peer: peers.Peer,
 ) -> suspect_exchange.SuspectList | None:
-    """Return the suspects that a peer knows, if it could be asked."""
+    """Return the suspects that a peer knows, or ``None`` on failure."""
     body = await fetch(address=_address(peer), path=SUSPECTS_PATH)
     if body is None:
         return None
@@ -247,7 +248,7 @@
 async def fetch_endpoints(
     *, address: outbound.Address
 ) -> listings.Listing | None:
-    """Return the endpoints that a peer knows."""
+    """Return the endpoints that a peer knows, or ``None`` on failure."""
     body = await fetch(address=address, path=ENDPOINTS_PATH)
     if body is None:
         return None
--- a/marigoldramp/gateway/peer_registry.py
+++ b/marigoldramp/gateway/peer_registry.py
@@ -1,7 +1,7 @@
-"""The list of entries in the platform's store.
+"""The registry of gateways in the platform's store.
 
-Entries find each other by it at their start; after that reports keep them
-in touch, and the store is not asked any more.
+Gateways find each other in it when they start.  After that they learn of each
+other from reports, and read the registry only once a minute.
 """
 
 import random as random_module
@@ -16,27 +16,29 @@
 from . import peers
 
 KIND = 'marigoldramp-entries'
-#: Seconds between two tries while the store does not answer.
+#: Used while the store does not answer.
 RETRY_INTERVAL_SECONDS = 1.0
-#: Seconds between two looks at the list: entries that started while the
-#: store was away for one of them would else not find each other.
-LOOK_EVERY = 60.0
-#: Seconds over which entries look whether a restore of the store has left them
-#: their rows; one that starts next finds the others by these.
+#: Reading the registry again lets gateways find each other that started while
+#: one of them could not reach the store.
+READ_INTERVAL_SECONDS = 60.0
+#: Random delay before a gateway checks that its row has survived a restore of
+#: the store from a backup.  A gateway that starts next finds the others by
+#: their rows.
 MAX_REWRITE_DELAY_SECONDS = 1.5
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """What an entry writes of itself."""
+    """The registry row of one gateway: the address for its peers."""
 
     host: str
     port: int
 
 
 class PeerRegistry:
-    """Our row, and the rows of others.
+    """Writes the row of this gateway and reads those of the others.
 
-    :param random: spreads what all entries do at the same event.
+    :param table: receives the addresses of the others.
+    :param random: spreads out the writes of all gateways after a restore.
     """
 
     __slots__ = (
@@ -65,31 +67,33 @@
         self._restored = anyio.Event()
 
     async def run(self) -> None:
-        """Keep our row right and learn of others until cancelled."""
+        """Keep the row up to date and find other gateways until cancelled."""
         while True:
             seconds = (
-                LOOK_EVERY if await self._look() else RETRY_INTERVAL_SECONDS
+                READ_INTERVAL_SECONDS
+                if await self._synchronize()
+                else RETRY_INTERVAL_SECONDS
             )
             with anyio.move_on_after(seconds):
-                await self._watch_restores()
+                await self._rewrite_after_restores()
 
     def note_restore(self) -> None:
-        """The store has come back from an older copy."""
+        """Check the row again, as the store was restored from a backup."""
         self._restored.set()
 
-    async def _watch_restores(self) -> None:
-        """Write our row again whenever a restore has taken it."""
+    async def _rewrite_after_restores(self) -> None:
+        """Write the row again whenever a restore has removed it."""
         while True:
             await self._restored.wait()
             self._restored = anyio.Event()
             await anyio.sleep(
                 self._random.uniform(0.0, MAX_REWRITE_DELAY_SECONDS)
             )
-            while not await self._make_sure():
+            while not await self._ensure_row():
                 await anyio.sleep(RETRY_INTERVAL_SECONDS)
 
-    async def _make_sure(self) -> bool:
-        """Write our row if it is not there; whether it is now."""
+    async def _ensure_row(self) -> bool:
+        """Write the row if it is missing; return whether it exists now."""
         found = await self._store.read(key=self._key)
         match found:
             case store_module.Absent():
@@ -98,8 +102,8 @@
                 return True
         return False
 
-    async def _look(self) -> bool:
-        """Read all rows and write our own; whether both succeeded."""
+    async def _synchronize(self) -> bool:
+        """Read all rows and write this gateway's; return the success."""
         found = await self._store.list_objects(kind=KIND)
         if isinstance(found, store_module.Unavailable):
             return False
@@ -108,7 +112,7 @@
             if stored.key.name == self._instance:
                 own = stored
             else:
-                self._learn(stored)
+                self._add_peer(stored)
         if own is not None and _decode(own.value) == self._row:
             return True
         return await self._write(own)
@@ -122,7 +126,7 @@
         return Row(host=self._address.host, port=self._address.port)
 
     async def _write(self, own: store_module.Stored | None) -> bool:
-        """Write our row; whether that succeeded."""
+        """Write the row; return whether that succeeded."""
         written = await self._store.write(
             key=self._key,
             value=msgspec.json.encode(self._row),
@@ -130,7 +134,7 @@
         )
         return isinstance(written, store_module.Written)
 
-    def _learn(self, stored: store_module.Stored) -> None:
+    def _add_peer(self, stored: store_module.Stored) -> None:
         row = _decode(stored.value)
         if row is None:
             logging.warning(
@@ -138,9 +142,7 @@
                 extra=logs.fields(name=stored.key.name),
             )
             return
-        self._table.learn(
-            instance=stored.key.name, host=row.host, port=row.port
-        )
+        self._table.add(instance=stored.key.name, host=row.host, port=row.port)
 
 
 def _decode(value: bytes) -> Row | None:
--- a/marigoldramp/gateway/peer_reports.py
+++ b/marigoldramp/gateway/peer_reports.py
@@ -1,23 +1,22 @@
-"""What entries tell each other in datagrams.
+"""The reports that gateways send each other in UDP datagrams.
 
-Each report goes to one peer and echoes the time that the peer wrote into its
-own last report.  The reader thereby knows that what the report says was true
-after that time, by its own clock, however long either process was frozen
-and however long the datagram lay in a buffer.
+Each report goes to one peer and echoes the timestamp of that peer's own last
+report.  The receiver thereby knows that the content was true after that time
+by its own clock, however long either process was frozen or the datagram was
+buffered.
 """
 
 import msgspec
 
 from . import suspects
 
-#: Longest datagram that is sent, in bytes; below it none is fragmented.
-MOST_BYTES = 1200
-#: Peers that one report names.
-MOST_KNOWN = 6
+#: Datagrams up to this size are not fragmented.
+MAX_DATAGRAM_BYTES = 1200
+MAX_KNOWN_PEERS_PER_REPORT = 6
 
 
 class KnownPeer(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """An entry that the sender knows."""
+    """The address of another gateway that the sender knows."""
 
     instance: str
     host: str
@@ -25,40 +24,44 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One report of an entry to a peer.
+    """One report of a gateway to a peer.
 
-    :ivar incarnation: drawn at each start of the process.
-    :ivar sent: the sender's clock, in seconds.
-    :ivar echo: ``sent`` of the last report that came from the peer, 0 for
-        none, and valid only for ``echo_incarnation``.
+    :ivar incarnation: random number drawn at each start of the process.
+    :ivar sent: time by the sender's clock, in seconds.
+    :ivar echo: ``sent`` of the last report that arrived from the receiver, 0
+        for none; valid only if the receiver still has ``echo_incarnation``.
     :ivar ready: callers may be sent to the sender.
-    :ivar call_host: where callers connect, empty for an entry without calls.
+    :ivar leaving: the sender is shutting down.
+    :ivar call_host: host at which callers connect, empty if the sender accepts
+        no callers.
     :ivar version: configuration in force at the sender.
-    :ivar version_age: seconds since it was known to be the newest; negative
-        if it never was.
-    :ivar revision: of the newest change of endpoints that the sender knows.
-    :ivar revision_age: seconds since it was in touch with the store about
-        endpoints; negative if it never was.
-    :ivar settled: of the newest change up to which what the sender does not
-        list is gone, 0 if it does not know that of any.
-    :ivar in_flight: requests of the sender by endpoint.
-    :ivar slow: endpoints that the sender finds slow or failing, and how many
-        times worse than usual.
-    :ivar fit: the sender may lead groups of ranks.
-    :ivar data_centre: where the sender is.
-    :ivar period: seconds after which the receiver gets the next report at the
-        latest, 0 if unknown.
-    :ivar passes: how long the last pass of the group of each service lasted,
-        in seconds, as streams of the sender have shown it.
-    :ivar strength: how much it can do besides, see
-        :attr:`.settings.Settings.strength`.
-    :ivar leads: groups that it leads.
-    :ivar suspect_news: what the sender has learnt lately of requests under
-        which endpoints end.
-    :ivar era: how often the platform's store was restored, as far as the
-        sender knows.
-    :ivar paces: slow ranks of groups that it leads, see
-        :class:`.ranks.RankReport`.
+    :ivar version_age: seconds since that version was confirmed to be the
+        newest; negative if it never was.
+    :ivar revision: revision of the newest change of endpoints that the sender
+        knows.
+    :ivar revision_age: seconds since the store last answered the sender about
+        endpoints; negative if it never did.
+    :ivar settled: revision up to which the sender's list of endpoints is
+        complete, so that an endpoint missing from it no longer exists; 0 if
+        the list is not known to be complete.
+    :ivar in_flight: number of the sender's running requests by endpoint.
+    :ivar slow_endpoints: endpoints that the sender measures as slow or
+        failing, and how many times worse than usual they are.
+    :ivar can_lead: the sender may lead groups of ranks.
+    :ivar leads: groups of ranks that the sender leads.
+    :ivar known_peers: some gateways that the sender knows.
+    :ivar paces: slow ranks of groups that the sender leads, and how many times
+        longer than usual their work takes, see :class:`.ranks.RankReport`.
+    :ivar capacity: see :attr:`.settings.Settings.capacity`.
+    :ivar data_centre: data centre of the sender.
+    :ivar period: seconds within which the sender's next report to the receiver
+        follows, 0 if unknown.
+    :ivar passes: seconds that the last forward pass of each service's group
+        took, as the sender's streams show it.
+    :ivar suspect_news: recent findings of the sender about requests during
+        which endpoints ended.
+    :ivar era: number of restores of the platform's store that the sender knows
+        of.
     """
 
     instance: str
@@ -77,12 +80,12 @@
     revision: int
     revision_age: float
     in_flight: dict[str, int]
-    slow: dict[str, float] = {}
-    fit: bool = False
+    slow_endpoints: dict[str, float] = {}
+    can_lead: bool = False
     leads: tuple[str, ...] = ()
-    known: tuple[KnownPeer, ...] = ()
+    known_peers: tuple[KnownPeer, ...] = ()
     paces: dict[str, float] = {}
-    strength: float = 1.0
+    capacity: float = 1.0
     data_centre: str = ''
     period: float = 0.0
     passes: dict[str, float] = {}
@@ -92,17 +95,21 @@
 
 
 def encode(report: Report) -> bytes:
-    """Return the datagram of a report, without what is too long for it."""
+    """Encode a report, shortened if it exceeds the maximum size.
+
+    Known peers, slow endpoints and the endpoints with the fewest requests in
+    flight are left out.
+    """
     data = msgspec.msgpack.encode(report)
-    if len(data) <= MOST_BYTES:
+    if len(data) <= MAX_DATAGRAM_BYTES:
         return data
     busiest = sorted(
         report.in_flight.items(), key=lambda pair: pair[1], reverse=True
     )
-    while len(data) > MOST_BYTES and busiest:
+    while len(data) > MAX_DATAGRAM_BYTES and busiest:
         busiest = busiest[: len(busiest) * 3 // 4]
         report = msgspec.structs.replace(
-            report, in_flight=dict(busiest), known=(), slow={}
+            report, in_flight=dict(busiest), known_peers=(), slow_endpoints={}
         )
         data = msgspec.msgpack.encode(report)
     return data
@@ -112,8 +119,8 @@
 
 
 def decode(data: bytes) -> Report:
-    """Return the report in a datagram.
+    """Decode the report in a datagram.
 
-    :raises msgspec.MsgspecError: there is none.
+    :raises msgspec.MsgspecError: the data is not a report.
     """
     return _decoder.decode(data)
--- a/marigoldramp/gateway/peers.py
+++ b/marigoldramp/gateway/peers.py
@@ -1,4 +1,9 @@
-"""The other entries, as their reports show them."""
+"""The other gateways of the deployment, as their reports describe them.
+
+Peers report to each other over UDP.  From the reports a gateway decides which
+peers are alive, which may lead a group of ranks, which callers may use, and
+which read the platform's store on its behalf.
+"""
 
 import dataclasses
 import random as random_module
@@ -12,42 +17,45 @@
 from . import peer_reports
 from . import report_intervals
 
-#: Longest period of a peer on whose word we wait before we ask the store.
-PROMPT_PERIOD = 0.3
-#: Entries of one data centre that ask the store, each for itself, as long as
-#: it answers them; and the most that try while it does not.  Each call of the
-#: store is paid for: with 99 entries that all watched it, calls were the
-#: largest price of a calm day.
-STORE_READERS = 3
-MOST_STORE_READERS = 6
-#: Ready entries of one data centre that are enough for its callers.
-ENOUGH_NEAR = 8
-#: Ready entries besides, if there are so many, among which the leaders of
-#: groups are left out.
-ENOUGH_WITHOUT_LEADERS = 10
-#: Seconds without a report after which a peer's word counts no more, and the
-#: reports that must have been missed at least.
-SILENT_AFTER = 1.2
-SILENT_MISSED = 3
-#: Missed reports after which another entry may lead in a peer's place.  A
-#: leader that is killed or suspended can leave a group of ranks standing, and
-#: callers give a stream up after two seconds; the rest of them is for taking
-#: over.
-SUSPECT_MISSED = 5
-#: Part of the strength of the strongest entry from which on another one counts
-#: as equal to it.
-ALIKE = 0.8
-#: Seconds without a report after which a peer is taken as gone for good: it
-#: may have been suspended or cut off for shorter.
-GONE_AFTER = 90.0
+#: Longest report interval of a peer for which this gateway waits before it
+#: reads the store itself.
+MAX_FREQUENT_INTERVAL_SECONDS = 0.3
+#: Gateways of one data centre that read the store while it answers them, and
+#: the most that try while it does not.  Every call to the store costs money:
+#: with 99 gateways watching it, its calls are the largest cost of a day
+#: without faults.
+MIN_STORE_READERS = 3
+MAX_STORE_READERS = 6
+#: Callers are given no peers of other data centres if at least this many are
+#: ready in the local one.
+MIN_NEAR_ADDRESSES = 8
+#: Callers are given no leaders of groups if at least this many other peers are
+#: ready.
+MIN_NON_LEADER_ADDRESSES = 10
+#: A peer counts as live until it has been silent for at least this time and
+#: has missed at least this many reports.
+MIN_SILENCE_SECONDS = 1.2
+MAX_MISSED_REPORTS = 3
+#: Missed reports after which another gateway may take over a peer's groups.  A
+#: leader that is killed or suspended can stall a group of ranks, and callers
+#: abandon a stream after two seconds; what remains of these is needed for the
+#: takeover itself.
+MAX_MISSED_BEFORE_TAKEOVER = 5
+#: Fraction of the largest capacity from which a gateway counts as equal to the
+#: strongest one.
+MIN_EQUAL_CAPACITY_RATIO = 0.8
+#: Seconds without a report after which a peer is removed.  A peer that is
+#: suspended or partitioned may come back earlier than that.
+MAX_ABSENCE_SECONDS = 90.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Peer:
-    """One other entry.
+    """One other gateway.
 
-    :ivar heard_at: when its last report came, negative infinity for never.
-    :ivar known_since: when it was first named.
+    :ivar heard_at: when its last report arrived, negative infinity for never.
+    :ivar known_since: when this gateway learned of its address.
+    :ivar live: its reports arrive in time.
     """
 
     instance: str
@@ -60,10 +68,10 @@
 
 
 class PeerTable:
-    """All entries that may live, but this one.
+    """All known gateways except this one, whether or not they report.
 
-    :param instance: our own name.
-    :param data_centre: our own.
+    :param instance: name of this gateway.
+    :param data_centre: data centre of this gateway.
     :param clock: see :func:`.ages.read_clock`.
     """
 
@@ -71,7 +79,7 @@
         '_instance',
         '_data_centre',
         '_clock',
-        '_began',
+        '_started_at',
         '_peers',
         '_in_flight',
         '_random',
@@ -88,7 +96,7 @@
         self._instance = instance
         self._data_centre = data_centre
         self._clock = clock
-        self._began = clock()
+        self._started_at = clock()
         self._random = random
         self._peers: dict[str, Peer] = {}
         self._in_flight: dict[str, int] = {}
@@ -100,61 +108,64 @@
         return len(self._peers)
 
     def live(self) -> list[Peer]:
-        """Return the peers whose reports come."""
+        """Return the peers whose reports arrive in time."""
         return [peer for peer in self._peers.values() if peer.live]
 
     def is_near(self, peer: Peer) -> bool:
-        """Whether a peer is in our data centre, as far as is known."""
+        """Whether a peer is in this data centre, or may be."""
         report = peer.report
         return report is None or report.data_centre == self._data_centre
 
-    def prompt(self) -> list[Peer]:
-        """Return the live peers from which we hear often."""
+    def list_frequent(self) -> list[Peer]:
+        """Return the live peers that report at short intervals."""
         return [
-            peer for peer in self.live() if self._period(peer) <= PROMPT_PERIOD
+            peer
+            for peer in self.live()
+            if self._report_interval(peer) <= MAX_FREQUENT_INTERVAL_SECONDS
         ]
 
-    def ahead(self, *, strength: float) -> list[Peer]:
-        """Return the peers that ask the store before we do.
+    def list_earlier_readers(self, *, capacity: float) -> list[Peer]:
+        """Return the peers that read the store before this gateway does.
 
-        Only those that we hear often, as we learn from them what they read;
-        the strongest first, and then by name.
+        The order is by descending capacity, then by name.  Only peers that
+        report often count, as the others would pass on too late what they
+        read.
 
-        :param strength: our own.
+        :param capacity: capacity of this gateway.
         """
-        own = (-strength, self._instance)
+        own = (-capacity, self._instance)
         return [
             peer
-            for peer in self.prompt()
+            for peer in self.list_frequent()
             if peer.report is not None
-            and (-peer.report.strength, peer.instance) < own
+            and (-peer.report.capacity, peer.instance) < own
         ]
 
-    def read_store_for_us(self, *, strength: float) -> bool:
-        """Whether enough peers of our data centre ask the store.
+    def has_enough_store_readers(self, *, capacity: float) -> bool:
+        """Whether enough peers of this data centre read the store.
 
-        :param strength: our own.
+        :param capacity: capacity of this gateway.
         """
         near = [
             peer
-            for peer in self.ahead(strength=strength)
-            if self.is_near(peer) and self._is_heard(peer)
+            for peer in self.list_earlier_readers(capacity=capacity)
+            if self.is_near(peer) and self._is_recently_heard(peer)
         ]
         answered = sum(
-            peer.report is not None and peer.report.fit for peer in near
+            peer.report is not None and peer.report.can_lead for peer in near
         )
-        return answered >= STORE_READERS or len(near) >= MOST_STORE_READERS
+        return answered >= MIN_STORE_READERS or len(near) >= MAX_STORE_READERS
 
-    def may_live(self) -> int:
-        """Return how many peers may live, heard or not."""
+    def count_known(self) -> int:
+        """Return the number of known peers, live or not."""
         return len(self._peers)
 
     def in_flight(self, identity: str) -> int:
-        """Return the requests of live peers on an endpoint."""
+        """Return how many requests live peers have on an endpoint."""
         return self._in_flight.get(identity, 0)
 
-    def learn(self, *, instance: str, host: str, port: int) -> None:
-        """Learn of an entry that somebody names."""
+    def add(self, *, instance: str, host: str, port: int) -> None:
+        """Add a peer, or update the address of one that is not live."""
         if instance == self._instance:
             return
         known = self._peers.get(instance)
@@ -173,16 +184,17 @@
             known.host = host
             known.port = port
 
-    def take(self, report: peer_reports.Report) -> frozenset[str] | None:
-        """Take a report; ``None`` for one that was overtaken.
+    def apply_report(
+        self, report: peer_reports.Report
+    ) -> frozenset[str] | None:
+        """Record the report of a peer.
 
-        :returns: endpoints whose requests in flight may have changed.
+        :returns: endpoints whose requests in flight may have changed, or
+            ``None`` if a later report of the peer has already arrived.
         """
         if report.instance == self._instance:
             return None
-        self.learn(
-            instance=report.instance, host=report.host, port=report.port
-        )
+        self.add(instance=report.instance, host=report.host, port=report.port)
         peer = self._peers[report.instance]
         last = peer.report
         if (
@@ -194,7 +206,7 @@
         touched = set(report.in_flight)
         if last is not None:
             touched.update(last.in_flight)
-        self._count(peer, -1)
+        self._add_in_flight(peer, -1)
         peer.report = report
         peer.host = report.host
         peer.port = report.port
@@ -205,19 +217,17 @@
                 extra=logs.fields(peer=peer.instance, version=report.version),
             )
         peer.live = True
-        self._count(peer, 1)
-        for known in report.known:
-            self.learn(
-                instance=known.instance, host=known.host, port=known.port
-            )
+        self._add_in_flight(peer, 1)
+        for known in report.known_peers:
+            self.add(instance=known.instance, host=known.host, port=known.port)
         return frozenset(touched)
 
-    def drop_silent(self) -> None:
-        """Stop believing peers whose reports have stopped."""
+    def expire_silent(self) -> None:
+        """Mark silent peers as not live, and remove those long silent."""
         now = self._clock()
         for peer in list(self._peers.values()):
-            if peer.live and now - peer.heard_at > self._silence(peer):
-                self._count(peer, -1)
+            if peer.live and now - peer.heard_at > self._max_silence(peer):
+                self._add_in_flight(peer, -1)
                 peer.live = False
                 logging.info(
                     'peer silent',
@@ -226,14 +236,14 @@
                     ),
                 )
             last = max(peer.heard_at, peer.known_since)
-            if now - last > GONE_AFTER:
+            if now - last > MAX_ABSENCE_SECONDS:
                 del self._peers[peer.instance]
                 logging.info(
                     'peer gone', extra=logs.fields(peer=peer.instance)
                 )
 
-    def name_some(self, most: int) -> tuple[peer_reports.KnownPeer, ...]:
-        """Return some live peers, so that all entries get to know all."""
+    def sample_live(self, most: int) -> tuple[peer_reports.KnownPeer, ...]:
+        """Return random live peers, to be named to another peer."""
         live = self.live()
         chosen = self._random.sample(live, min(most, len(live)))
         return tuple(
@@ -244,18 +254,18 @@
         )
 
     def ready_addresses(self) -> list[outbound.Address]:
-        """Return where callers can connect, at live peers that are ready.
+        """Return the addresses at which ready peers accept callers.
 
-        Where there are enough, only those of our data centre, and none that
-        leads a group: a leader that also serves its part of the callers is
-        later with each change of the map, which makes all callers late.
+        Where enough remain, peers of other data centres and leaders of groups
+        are left out: a leader that also serves callers sends each change of
+        the expert map later, which delays the callers of the whole group.
         """
-        ready = [peer for peer in self.live() if _takes_calls(peer)]
+        ready = [peer for peer in self.live() if _accepts_callers(peer)]
         near = [peer for peer in ready if self.is_near(peer)]
-        if len(near) >= ENOUGH_NEAR:
+        if len(near) >= MIN_NEAR_ADDRESSES:
             ready = near
         idle = [peer for peer in ready if not _leads(peer)]
-        if len(idle) >= ENOUGH_WITHOUT_LEADERS:
+        if len(idle) >= MIN_NON_LEADER_ADDRESSES:
             ready = idle
         found = [
             outbound.Address(
@@ -268,79 +278,88 @@
         return found
 
     def is_suspect(self, instance: str) -> bool:
-        """Whether a peer has fallen silent while most others are heard.
+        """Whether a peer is silent while most other peers are heard.
 
-        An entry that was suspended itself, or is cut off, hears nobody; it
-        must not take all others for gone.
+        A gateway that was suspended or is partitioned itself hears nobody; it
+        must not suspect all of its peers.
         """
         peer = self._peers.get(instance)
-        if peer is None or peer.report is None or self._is_heard(peer):
+        if (
+            peer is None
+            or peer.report is None
+            or self._is_recently_heard(peer)
+        ):
             return False
-        others = self._list_witnesses(peer)
-        heard = sum(self._is_heard(one) for one in others)
+        others = self._list_reference_peers(peer)
+        heard = sum(self._is_recently_heard(one) for one in others)
         return 2 * heard > len(others)
 
-    def is_lost(self, instance: str) -> bool:
-        """Whether a peer is silent, or was since before we started.
+    def is_unreachable(self, instance: str) -> bool:
+        """Whether a peer is suspect, or never reported while others did.
 
-        One that froze before we started was never heard by us.  Left to its
-        lease, a group that it held would stand for four seconds.
+        A leader that froze before this gateway started has never reported to
+        it.  Waiting for its lease to expire would stall its group for four
+        seconds.
         """
         peer = self._peers.get(instance)
         if peer is not None and peer.report is not None:
             return self.is_suspect(instance)
-        if self._clock() - self._began < SILENT_AFTER:
+        if self._clock() - self._started_at < MIN_SILENCE_SECONDS:
             return False
-        others = self._list_witnesses(peer)
-        heard = sum(self._is_heard(one) for one in others)
+        others = self._list_reference_peers(peer)
+        heard = sum(self._is_recently_heard(one) for one in others)
         return bool(heard) and 2 * heard > len(others)
 
-    def _list_witnesses(self, peer: Peer | None) -> list[Peer]:
-        """Return the peers whose silence would show that it is ours.
+    def _list_reference_peers(self, peer: Peer | None) -> list[Peer]:
+        """Return the peers whose silence shows a fault of this gateway.
 
-        Those that report seldom count as heard for long after we were
-        suspended or cut off ourselves.
+        Peers with long report intervals are left out if possible: they count
+        as heard long after this gateway was suspended or partitioned.
         """
-        known = self.prompt() or self.live()
+        known = self.list_frequent() or self.live()
         return [one for one in known if one is not peer]
 
-    def is_idle(self, instance: str, group: str) -> bool:
-        """Whether a peer is heard and says that it does not lead a group."""
+    def reports_not_leading(self, instance: str, group: str) -> bool:
+        """Whether a peer is heard and reports that it does not lead."""
         peer = self._peers.get(instance)
-        if peer is None or peer.report is None or not self._is_heard(peer):
+        if (
+            peer is None
+            or peer.report is None
+            or not self._is_recently_heard(peer)
+        ):
             return False
         return group not in peer.report.leads
 
-    def fit_to_lead(self, *, strength: float = 0.0) -> list[str]:
-        """Return the peers that may lead groups of ranks, the strongest ones.
+    def list_leader_candidates(self, *, capacity: float = 0.0) -> list[str]:
+        """Return the peers with enough capacity to lead groups of ranks.
 
-        :param strength: our own.
+        :param capacity: capacity of this gateway.
         """
-        fit = self._fit_strengths()
-        most = max(fit.values(), default=0.0)
-        least = ALIKE * max(most, strength)
-        return [name for name, one in fit.items() if one >= least]
+        capacities = self._candidate_capacities()
+        most = max(capacities.values(), default=0.0)
+        least = MIN_EQUAL_CAPACITY_RATIO * max(most, capacity)
+        return [name for name, one in capacities.items() if one >= least]
 
-    def is_outdone(self, *, strength: float) -> bool:
-        """Whether a peer that may lead can do much more than we.
+    def has_stronger_candidate(self, *, capacity: float) -> bool:
+        """Whether a peer that may lead has much more capacity.
 
-        :param strength: our own.
+        :param capacity: capacity of this gateway.
         """
-        most = max(self._fit_strengths().values(), default=0.0)
-        return strength < ALIKE * most
+        most = max(self._candidate_capacities().values(), default=0.0)
+        return capacity < MIN_EQUAL_CAPACITY_RATIO * most
 
-    def _fit_strengths(self) -> dict[str, float]:
-        """Return the strength of each live peer that may lead."""
+    def _candidate_capacities(self) -> dict[str, float]:
+        """Return the capacity of each live peer that may lead."""
         return {
-            peer.instance: peer.report.strength
+            peer.instance: peer.report.capacity
             for peer in self.live()
             if peer.report is not None
-            and peer.report.fit
+            and peer.report.can_lead
             and not self.is_suspect(peer.instance)
         }
 
-    def led_groups(self) -> frozenset[str]:
-        """Return the groups that live peers say they lead."""
+    def list_led_groups(self) -> frozenset[str]:
+        """Return the groups that live peers report they lead."""
         return frozenset(
             name
             for peer in self.live()
@@ -348,20 +367,26 @@
             for name in peer.report.leads
         )
 
-    def _is_heard(self, peer: Peer) -> bool:
-        longest = SUSPECT_MISSED * self._period(peer)
+    def _is_recently_heard(self, peer: Peer) -> bool:
+        longest = MAX_MISSED_BEFORE_TAKEOVER * self._report_interval(peer)
         return self._clock() - peer.heard_at <= longest
 
-    def _silence(self, peer: Peer) -> float:
-        return max(SILENT_AFTER, SILENT_MISSED * self._period(peer))
+    def _max_silence(self, peer: Peer) -> float:
+        return max(
+            MIN_SILENCE_SECONDS,
+            MAX_MISSED_REPORTS * self._report_interval(peer),
+        )
 
-    def _period(self, peer: Peer) -> float:
-        """Return how often a peer reports to us, by its own word."""
+    def _report_interval(self, peer: Peer) -> float:
+        """Return the interval that a peer announces for its reports."""
         period = 0.0 if peer.report is None else peer.report.period
-        return period or report_intervals.PERIOD
+        return period or report_intervals.DEFAULT_INTERVAL_SECONDS
+
+    def _add_in_flight(self, peer: Peer, sign: int) -> None:
+        """Add the requests that a peer has in flight to the totals.
 
-    def _count(self, peer: Peer, sign: int) -> None:
-        """Add or take away what a peer has in flight."""
+        :param sign: 1 to add them, -1 to subtract them.
+        """
         if peer.report is None or not peer.live and sign < 0:
             return
         for identity, amount in peer.report.in_flight.items():
@@ -372,7 +397,7 @@
                 self._in_flight.pop(identity, None)
 
 
-def _takes_calls(peer: Peer) -> bool:
+def _accepts_callers(peer: Peer) -> bool:
     report = peer.report
     if report is None or not report.ready or report.leaving:
         return False
--- a/marigoldramp/gateway/periodic_tasks.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -1,4 +1,4 @@
-"""What a process does again and again, whether or not requests come."""
+"""Tasks that a gateway repeats at intervals or on signals."""
 
 import dataclasses
 import signal
@@ -19,21 +19,19 @@
 from . import refresh
 from . import settings as settings_module
 
-#: Seconds between two looks at requests that wait, and at what is idle.
-SERVE_EVERY = 0.1
-HOUSEKEEPING_EVERY = 0.5
-#: Seconds between two looks at whether the settings have changed.
-SETTINGS_EVERY = 1.0
-#: Seconds between two looks whether peers know more of endpoints, while the
-#: store does not answer us.
-ASK_PEERS_EVERY = 0.5
-#: Seconds after a failure of the store for which entries may lapse.
-DISTURBED_SECONDS = 1.0
+SERVE_INTERVAL_SECONDS = 0.1
+CLEANUP_INTERVAL_SECONDS = 0.5
+SETTINGS_INTERVAL_SECONDS = 1.0
+#: Interval of asking peers for endpoints while the store does not answer.
+PEER_FETCH_INTERVAL_SECONDS = 0.5
+#: Time after a failure of the store during which registrations of running
+#: endpoints may lapse.
+DISTURBANCE_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Parts:
-    """The parts of a process that need upkeep."""
+class Components:
+    """The components on which the tasks work."""
 
     table: endpoints.EndpointTable
     peers: peers.PeerTable
@@ -41,20 +39,20 @@
     dispatcher: dispatch.Dispatcher
     follower: discovery.Follower
     refresher: refresh.Refresher
-    peer_source: peer_exchange.PeerSource
+    peer_client: peer_exchange.PeerClient
     containment: containment_module.Containment
 
 
 class PeriodicTasks:
-    """Keeps one process in order.
+    """Runs the periodic tasks of a gateway and handles its signals.
 
-    :param read_settings: reads the settings anew.
-    :param begin_stop: called when a stop is asked for.
+    :param read_settings: reads the settings again.
+    :param begin_stop: called on a signal to stop.
     :ivar settings: the settings in force.
     """
 
     __slots__ = (
-        '_parts',
+        '_components',
         '_read_settings',
         '_begin_stop',
         '_clock',
@@ -64,62 +62,71 @@
     def __init__(
         self,
         *,
-        parts: Parts,
+        components: Components,
         settings: settings_module.Settings,
         read_settings: Callable[[], settings_module.Settings],
         begin_stop: Callable[[], None],
         clock: Callable[[], float],
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._read_settings = read_settings
         self._begin_stop = begin_stop
         self._clock = clock
         self.settings = settings
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Begin all that is done again and again."""
-        tasks.start_soon(self._watch_signals)
-        tasks.start_soon(self._keep_house)
-        tasks.start_soon(self._keep_serving)
-        tasks.start_soon(self._keep_settings)
-        tasks.start_soon(self._ask_peers_for_endpoints)
-
-    async def _keep_serving(self) -> None:
-        """Give places to requests that wait for a rest or a gate to end."""
+        """Start all tasks."""
+        tasks.start_soon(self._handle_signals)
+        tasks.start_soon(self._clean_up)
+        tasks.start_soon(self._serve_queues)
+        tasks.start_soon(self._watch_settings)
+        tasks.start_soon(self._fetch_endpoints_from_peers)
+
+    async def _serve_queues(self) -> None:
+        """Assign endpoints to queued requests.
+
+        Requests wait for endpoints that are in backoff, or for a gate that
+        holds back the requests of a service.
+        """
         while True:
-            await anyio.sleep(SERVE_EVERY)
-            self._parts.containment.refresh()
-            self._parts.dispatcher.serve_all()
+            await anyio.sleep(SERVE_INTERVAL_SECONDS)
+            self._components.containment.refresh()
+            self._components.dispatcher.serve_all()
 
-    async def _keep_house(self) -> None:
-        parts = self._parts
+    async def _clean_up(self) -> None:
+        components = self._components
         while True:
-            await anyio.sleep(HOUSEKEEPING_EVERY)
-            parts.pool.drop_expired()
-            parts.containment.tidy()
-            for endpoint in parts.table:
-                endpoint.elsewhere = parts.peers.in_flight(endpoint.identity)
-
-    async def _ask_peers_for_endpoints(self) -> None:
-        """Learn of endpoints from a peer while the store is away for us."""
-        follower = self._parts.follower
+            await anyio.sleep(CLEANUP_INTERVAL_SECONDS)
+            components.pool.drop_expired()
+            components.containment.tidy()
+            for endpoint in components.table:
+                endpoint.elsewhere = components.peers.in_flight(
+                    endpoint.identity
+                )
+
+    async def _fetch_endpoints_from_peers(self) -> None:
+        """Fetch endpoints from a peer while the store does not answer.
+
+        Also note each failure of the store, after which registrations lapse.
+        """
+        follower = self._components.follower
         while True:
-            await anyio.sleep(ASK_PEERS_EVERY)
-            failed_at = self._parts.refresher.store.failed_at
-            if self._clock() - failed_at < DISTURBED_SECONDS:
+            await anyio.sleep(PEER_FETCH_INTERVAL_SECONDS)
+            failed_at = self._components.refresher.store.failed_at
+            if self._clock() - failed_at < DISTURBANCE_SECONDS:
                 follower.presence.note_disturbance()
             if follower.store.reached:
                 continue
-            found = await self._parts.peer_source.fetch_endpoints(
+            found = await self._components.peer_client.fetch_endpoints(
                 newer_than=follower.settled_revision
             )
             if found is not None:
                 follower.take_peer_listing(found)
 
-    async def _keep_settings(self) -> None:
-        """Take changes of the settings that come without a signal."""
+    async def _watch_settings(self) -> None:
+        """Apply changes of the settings that come without a signal."""
         while True:
-            await anyio.sleep(SETTINGS_EVERY)
+            await anyio.sleep(SETTINGS_INTERVAL_SECONDS)
             self._reload('changed')
 
     def _reload(self, cause: str) -> None:
@@ -135,7 +142,7 @@
             self.settings = found
             logging.info('settings reloaded', extra=logs.fields(cause=cause))
 
-    async def _watch_signals(self) -> None:
+    async def _handle_signals(self) -> None:
         with anyio.open_signal_receiver(
             signal.SIGTERM, signal.SIGINT, signal.SIGHUP
         ) as received:
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -1,4 +1,4 @@
-"""The process: builds its parts, runs them, and leads through a stop."""
+"""The gateway process: creates its components, runs and stops them."""
 
 import random as random_module
 import secrets
@@ -43,18 +43,18 @@
 from . import stopping
 from . import suspect_keeper
 
-#: Descriptors that are left for everything but callers.
-SPARE_DESCRIPTORS = 600
-MOST_IDLE_PER_ENDPOINT = 12
+#: File descriptors that are reserved for everything but callers.
+RESERVED_DESCRIPTORS = 600
+MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 12
 METRICS_PATH = '/metrics'
 
 
 class Program:
     """One gateway process.
 
-    :ivar leaving: a stop was asked for.
-    :ivar call_port: where callers connect, known once it listens.
-    :ivar peer_port: where peers ask by TCP, known once it listens.
+    :ivar leaving: a stop was requested.
+    :ivar call_port: port for callers, 0 before it listens.
+    :ivar peer_port: TCP port for peers, 0 before it listens.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         self.leaving = False
         self.call_port = 0
         self.peer_port = 0
-        self._leave = anyio.Event()
+        self._stop_requested = anyio.Event()
         self._adapter = adapter
         self._metrics = metrics
         self._clock = clock
         self._stopped = anyio.Event()
         self._listeners: list[listeners.Listener] = []
         self._connections: set[inbound.Connection] = set()
-        self._pages = adapter.make_pages(self)
+        self._platform_pages = adapter.make_pages(self)
         self.active_configuration = configurations.ActiveConfiguration(
             source=adapter.configuration
         )
@@ -89,16 +89,16 @@
             clock=clock,
             random=random,
         )
-        self._peer_source = peer_exchange.PeerSource(
+        self._peer_client = peer_exchange.PeerClient(
             peers=self.peers, random=random
         )
-        self.pool = outbound.Pool(most_idle=MOST_IDLE_PER_ENDPOINT)
+        self.pool = outbound.Pool(most_idle=MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
         self.dispatcher = dispatch.Dispatcher(
             table=self.table,
             clock=clock,
-            slots=self._slots,
+            slots=self._find_slots,
             random=random,
-            engine=self._engine,
+            engine=self._find_engine,
             accepted=lambda service: (
                 self.active_configuration.routes.accepted_pause(service)
             ),
@@ -115,14 +115,14 @@
             peers=self.peers,
             pool=self.pool,
             fetch=peer_exchange.fetch_suspects,
-            hasten=self._tell_peers,
+            hasten=self._notify_peers,
             metrics=metrics,
             clock=clock,
         )
         self._keeper = suspect_keeper.SuspectKeeper(
             known=self.containment.suspects,
             store=adapter.store,
-            position=self._place_among_peers,
+            position=self._find_read_position,
             clock=clock,
         )
         self.forwarder = forwarding.Forwarder(
@@ -134,20 +134,20 @@
                 signals=endpoint_signals.EndpointSignals(
                     clock=clock,
                     metrics=metrics,
-                    on_leaving=self._note_leaving,
+                    on_leaving=self._handle_leaving,
                 ),
-                on_events=self._note_events,
+                on_events=self._record_events,
             ),
             budget=retry_budget.RetryBudget(
                 bounds=lambda: self.settings.bounds.retries,
-                entries=lambda: self.peers.may_live() + 1,
+                entries=lambda: self.peers.count_known() + 1,
                 clock=clock,
             ),
             containment=self.containment,
             random=random,
             clock=clock,
             metrics=metrics,
-            on_wrong_endpoint=self.pool_drop,
+            on_wrong_endpoint=self.drop_connections,
         )
         self.follower = discovery.Follower(
             source=adapter.endpoints,
@@ -156,23 +156,23 @@
             presence=presence.Presence(
                 table=self.table,
                 clock=clock,
-                on_gone=self._note_gone,
-                on_restart=self._note_restart,
+                on_gone=self._handle_gone,
+                on_restart=self._handle_restart,
                 restored_at=adapter.store.restored_at,
             ),
-            on_change=self._note_endpoints,
-            relies=lambda: self.peers.read_store_for_us(
-                strength=self.settings.strength
+            on_change=self._handle_endpoint_change,
+            relies=lambda: self.peers.has_enough_store_readers(
+                capacity=self.settings.capacity
             ),
             from_peers=self._fetch_endpoints,
-            position=self._place_among_peers,
+            position=self._find_read_position,
         )
         self.refresher = refresh.Refresher(
             configuration=self.active_configuration,
             source=adapter.configuration,
-            from_peers=self._peer_source.fetch_configuration,
+            from_peers=self._peer_client.fetch_configuration,
             clock=clock,
-            position=self._place_among_peers,
+            position=self._find_read_position,
             restored_at=adapter.store.restored_at,
         )
         self.gossip = gossip.Gossip(
@@ -182,13 +182,13 @@
                 for seed in self.settings.seeds
                 if seed != self.settings.peers
             ),
-            make=self._report,
-            take=self._take,
+            build_report=self._build_report,
+            on_report=self._apply_report,
             leads=lambda: bool(self.leading.led()),
             clock=clock,
             random=random,
         )
-        self.active_configuration.on_change(self._tell_peers)
+        self.active_configuration.on_change(self._notify_peers)
         self._registry = peer_registry.PeerRegistry(
             store=adapter.store,
             table=self.peers,
@@ -196,21 +196,21 @@
             address=settings.peers,
             random=random,
         )
-        adapter.store.on_restore(self._note_restore)
+        adapter.store.on_restore(self._handle_restore)
         self.leading = group_leading.GroupLeading(
             instance=settings.instance,
             table=self.table,
-            services=self._services,
+            services=self._list_services,
             fenced=lambda: self.settings.bounds.fenced,
-            rivals=lambda: self.peers.fit_to_lead(
-                strength=self.settings.strength
+            rivals=lambda: self.peers.list_leader_candidates(
+                capacity=self.settings.capacity
             ),
-            is_outdone=lambda: self.peers.is_outdone(
-                strength=self.settings.strength
+            is_outdone=lambda: self.peers.has_stronger_candidate(
+                capacity=self.settings.capacity
             ),
-            led_elsewhere=self.peers.led_groups,
-            is_idle=self.peers.is_idle,
-            is_gone=self.peers.is_lost,
+            led_elsewhere=self.peers.list_led_groups,
+            is_idle=self.peers.reports_not_leading,
+            is_gone=self.peers.is_unreachable,
             pauses=lambda service: self.dispatcher.pace(service).share,
             passes=lambda service: self.dispatcher.pace(service).passes,
             limit=lambda service, slots: self.dispatcher.pace(service).limit(
@@ -221,7 +221,7 @@
             has_store=lambda: self.follower.store.reached,
             clock=clock,
         )
-        parts = reporting.Parts(
+        components = reporting.Components(
             active_configuration=self.active_configuration,
             refresher=self.refresher,
             follower=self.follower,
@@ -233,7 +233,7 @@
             store=adapter.store,
         )
         self._reporter = reporting.Reporter(
-            parts=parts,
+            components=components,
             settings=lambda: self.settings,
             ready=self.is_ready,
             leaving=lambda: self.leaving,
@@ -241,7 +241,7 @@
             clock=clock,
         )
         self.describer = status.Describer(
-            parts=parts,
+            components=components,
             instance=settings.instance,
             data_centre=settings.data_centre,
             ready=self.is_ready,
@@ -250,14 +250,14 @@
             clock=clock,
         )
         self._periodic_tasks = periodic_tasks.PeriodicTasks(
-            parts=periodic_tasks.Parts(
+            components=periodic_tasks.Components(
                 table=self.table,
                 peers=self.peers,
                 pool=self.pool,
                 dispatcher=self.dispatcher,
                 follower=self.follower,
                 refresher=self.refresher,
-                peer_source=self._peer_source,
+                peer_client=self._peer_client,
                 containment=self.containment,
             ),
             settings=settings,
@@ -265,15 +265,15 @@
             begin_stop=self.begin_stop,
             clock=clock,
         )
-        self._show_gauges()
+        self._register_gauges()
 
     @property
     def settings(self) -> settings_module.Settings:
-        """The settings in force."""
+        """Return the settings in force."""
         return self._periodic_tasks.settings
 
-    def _show_gauges(self) -> None:
-        """Show on the metrics page what the process believes."""
+    def _register_gauges(self) -> None:
+        """Register the gauges that show the state of the process."""
         gauge = self._metrics.gauge
         gauge('ready', lambda: float(self.is_ready()))
         gauge('running_requests', lambda: float(self.forwarder.running))
@@ -285,7 +285,7 @@
         gauge('known_endpoints', lambda: float(len(self.table)))
         gauge('endpoint_connections', lambda: float(self.pool.opened))
 
-    # What pages show
+    # State for callers, peers and the platform
 
     def is_ready(self) -> bool:
         """Whether callers may be sent here."""
@@ -297,36 +297,36 @@
         return not config.requires_keys or self.admission.trusts_keys()
 
     def ready_addresses(self) -> list[outbound.Address]:
-        """Return where callers can connect, here and at peers."""
+        """Return addresses for callers, of this gateway and its peers."""
         found = self.peers.ready_addresses()
         if self.is_ready() and self.settings.calls is not None:
             leads = bool(self.leading.led())
-            if not leads or len(found) < peers.ENOUGH_WITHOUT_LEADERS:
+            if not leads or len(found) < peers.MIN_NON_LEADER_ADDRESSES:
                 found.insert(0, self.settings.calls)
         return found
 
-    def pool_drop(self, identity: str) -> None:
-        """Close idle connections to an endpoint that is no more."""
+    def drop_connections(self, identity: str) -> None:
+        """Close idle connections to an endpoint that no longer exists."""
         self.pool.drop(identity=identity)
 
-    def _note_leaving(self, record: deployment.EndpointRecord) -> None:
-        """Act on an endpoint that reports that it is shutting down."""
+    def _handle_leaving(self, record: deployment.EndpointRecord) -> None:
+        """Handle an endpoint's report that it is shutting down."""
         self.follower.presence.note_leaving(record)
 
-    def _note_gone(self, identity: str) -> None:
-        """Act on an endpoint that is listed no longer."""
-        self.pool_drop(identity)
+    def _handle_gone(self, identity: str) -> None:
+        """Handle an endpoint that is no longer listed."""
+        self.drop_connections(identity)
         self.containment.note_gone(identity)
 
-    def _note_restart(self, identity: str) -> None:
-        """Act on an endpoint that has started anew under its name."""
-        self.pool_drop(identity)
+    def _handle_restart(self, identity: str) -> None:
+        """Handle an endpoint that has restarted under the same name."""
+        self.drop_connections(identity)
         self.containment.note_restart(identity)
 
-    # Running
+    # Start and servers
 
     async def run(self) -> None:
-        """Serve until stopped."""
+        """Serve callers until stopped."""
         try:
             async with anyio.create_task_group() as tasks:
                 await self._listen(tasks)
@@ -341,7 +341,7 @@
         )
 
     def _start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Begin all that goes on until the stop."""
+        """Start all tasks that run until the stop."""
         logging.info(
             'started',
             extra=logs.fields(
@@ -349,7 +349,7 @@
                 store=str(self.settings.store),
             ),
         )
-        tasks.start_soon(self._stop)
+        tasks.start_soon(self._shut_down)
         self._periodic_tasks.start(tasks)
         tasks.start_soon(self.gossip.run, self.settings.peers)
         tasks.start_soon(self.refresher.run)
@@ -361,8 +361,8 @@
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
         settings = self.settings
-        most = max(64, settings.descriptors - SPARE_DESCRIPTORS)
-        pages = peer_exchange.PeerPages(
+        max_connections = max(64, settings.descriptors - RESERVED_DESCRIPTORS)
+        server = peer_exchange.PeerServer(
             configuration=self.active_configuration,
             follower=self.follower,
             describe=self.describer.describe,
@@ -370,25 +370,25 @@
             release=self.containment.release,
         )
         self._call_listener = listeners.Listener(
-            serve=self._serve_calls, most=most
+            serve=self._serve_calls, most=max_connections
         )
         self._listeners.append(self._call_listener)
-        places: list[tuple[outbound.Address | None, adapter_module.Page]] = [
-            (settings.readiness, self._pages.readiness),
-            (settings.addresses, self._pages.addresses),
-            (settings.peers, pages.handle),
-            (settings.metrics, self._show_metrics),
+        handlers: list[tuple[outbound.Address | None, adapter_module.Page]] = [
+            (settings.readiness, self._platform_pages.readiness),
+            (settings.addresses, self._platform_pages.addresses),
+            (settings.peers, server.handle),
+            (settings.metrics, self._serve_metrics),
         ]
-        for address, page in places:
+        for address, page in handlers:
             if address is not None:
                 listener = listeners.Listener(
-                    serve=self._make_server(page), most=most
+                    serve=self._make_server(page), most=max_connections
                 )
                 self._listeners.append(listener)
                 port = await listener.listen(
                     host=address.host, port=address.port, tasks=tasks
                 )
-                if page == pages.handle:
+                if page == server.handle:
                     self.peer_port = port
         if settings.calls is not None:
             self.call_port = await self._call_listener.listen(
@@ -413,7 +413,7 @@
         connection = inbound.Connection(
             stream=stream,
             handler=self.forwarder.handle,
-            limits=self._limits,
+            limits=self._find_limits,
             leaving=lambda: self.leaving,
         )
         self._connections.add(connection)
@@ -422,7 +422,7 @@
         finally:
             self._connections.discard(connection)
 
-    async def _show_metrics(self, exchange: inbound.Exchange) -> None:
+    async def _serve_metrics(self, exchange: inbound.Exchange) -> None:
         if exchange.head.path != METRICS_PATH:
             await exchange.respond(status=404, headers=[], body=b'')
             return
@@ -432,19 +432,22 @@
             body=self._metrics.render(),
         )
 
-    def _limits(self) -> deployment.Limits:
+    def _find_limits(self) -> deployment.Limits:
         config = self.active_configuration.current
         return inbound.UNKNOWN_LIMITS if config is None else config.limits
 
-    def _services(self) -> tuple[deployment.Service, ...]:
+    def _list_services(self) -> tuple[deployment.Service, ...]:
         """Return the services whose groups may be led."""
         config = self.active_configuration.current
         if config is None:
             return ()
         return tuple(config.services.values())
 
-    def _note_events(self, call: calls.Call, pause: float) -> None:
-        """Learn from events of a stream how its service does."""
+    def _record_events(self, call: calls.Call, pause: float) -> None:
+        """Record the progress of a stream for its service.
+
+        :param pause: seconds since the event before, 0 if there was none.
+        """
         gate = self.dispatcher.gate(call.service)
         was_shut = gate.is_shut
         gate.note_progress()
@@ -455,72 +458,74 @@
                 seconds=pause, accepted=call.route.longest_pause
             )
 
-    def _engine(self, service: str) -> deployment.Engine | None:
+    def _find_engine(self, service: str) -> deployment.Engine | None:
         config = self.active_configuration.current
         known = None if config is None else config.services.get(service)
         return None if known is None else known.engine
 
-    def _slots(self, endpoint: endpoints.Endpoint) -> float:
-        engine = self._engine(endpoint.record.service)
+    def _find_slots(self, endpoint: endpoints.Endpoint) -> float:
+        engine = self._find_engine(endpoint.record.service)
         return dispatch.usual_slots(endpoint, engine)
 
     # Peers
 
-    def _report(
+    def _build_report(
         self, peer: peers.Peer | None, period: float
     ) -> peer_reports.Report:
-        return self._reporter.make(peer, period)
+        return self._reporter.build_report(peer, period)
 
-    def _take(
+    def _apply_report(
         self, report: peer_reports.Report, touched: frozenset[str]
     ) -> None:
-        self._reporter.take(report, touched)
+        self._reporter.apply_report(report, touched)
 
-    def _note_endpoints(self) -> None:
-        """Act on a change of the endpoints that are known."""
+    def _handle_endpoint_change(self) -> None:
+        """Handle a change of the known endpoints."""
         self.dispatcher.serve_all()
         if not self.follower.relies():
-            # Peers that do not ask the store learn of it from us.
-            self._tell_peers()
+            # Peers that do not read the store learn of it from this gateway.
+            self._notify_peers()
 
     async def _fetch_endpoints(
         self, newer_than: int
     ) -> listings.Listing | None:
-        return await self._peer_source.fetch_endpoints(newer_than=newer_than)
+        return await self._peer_client.fetch_endpoints(newer_than=newer_than)
 
-    def _tell_peers(self) -> None:
-        """Let peers know at once that something has changed."""
-        self._reporter.forget()
-        self.gossip.hasten()
+    def _notify_peers(self) -> None:
+        """Send the current state to all peers at once."""
+        self._reporter.invalidate()
+        self.gossip.send_now()
 
-    def _place_among_peers(self) -> int:
-        """Return how many peers read the configuration before we do."""
-        return len(self.peers.ahead(strength=self.settings.strength))
+    def _find_read_position(self) -> int:
+        """Return how many peers read the store before this gateway."""
+        return len(
+            self.peers.list_earlier_readers(capacity=self.settings.capacity)
+        )
 
-    def _note_restore(self) -> None:
-        """Act on a store that has come back from an older copy."""
+    def _handle_restore(self) -> None:
+        """Handle a restore of the store from a backup."""
         self.follower.note_restore()
         self._registry.note_restore()
         self._keeper.note_restore()
 
     def begin_stop(self) -> None:
-        """Begin a planned stop; a second request changes nothing."""
+        """Begin a graceful shutdown, unless one has begun already."""
         self.leaving = True
-        self._leave.set()
+        self._stop_requested.set()
 
-    async def _stop(self) -> None:
-        """Lead through a planned stop, within the time that is given."""
-        await self._leave.wait()
+    async def _shut_down(self) -> None:
+        """Shut down gracefully once a stop is requested."""
+        await self._stop_requested.wait()
         logging.info(
             'stopping', extra=logs.fields(running=self.forwarder.running)
         )
-        self._tell_peers()
-        await stopping.lead_through(
-            stopping.Parts(
+        self._notify_peers()
+        await stopping.shut_down(
+            stopping.Components(
                 resign=self.leading.stop,
                 listener=self._call_listener,
                 connections=self._connections,
-                asked_at=lambda: self.forwarder.asked_at,
+                last_request_at=lambda: self.forwarder.asked_at,
                 clock=self._clock,
             ),
             grace=self.settings.bounds.grace,
@@ -534,6 +539,6 @@
     adapter: adapter_module.Adapter,
     metrics: metrics_module.Metrics,
 ) -> None:
-    """Run a process until it is stopped."""
+    """Run a gateway process until it is stopped."""
     program = Program(settings=settings, adapter=adapter, metrics=metrics)
     await program.run()
--- a/marigoldramp/gateway/refresh.py
+++ b/marigoldramp/gateway/refresh.py
@@ -1,9 +1,10 @@
-"""Keeps the configuration the newest one.
+"""Keeps the configuration up to date.
 
-All entries together read the store about once a period: the first of those
-that hear each other reads when its confirmation has become old, and the
-others learn of it from its reports.  Each next one is more patient, so that
-it reads only if the one before does not; an entry that hears nobody is first.
+All gateways together read the store about once per
+``MIN_READ_AGE_SECONDS``: the first in the order of those that hear each other
+reads it when its confirmation is that old, and the others learn the result
+from its reports.  Each next one waits longer, so that it reads only if the one
+before does not.  A gateway that hears no peer is the first.
 """
 
 from typing import Awaitable
@@ -15,32 +16,32 @@
 from . import configurations
 from . import contacts
 
-#: Age of a confirmation at which the first entry reads the store, in
-#: seconds, what each next one waits longer, and the longest age.  It takes up
-#: to two periods of reports until the others know of a read.
-READ_AFTER = 0.8
-LATER_EACH = 0.3
-READ_LATEST = 1.4
-#: Seconds between two reads of the first entry while the store is away.
-RETRY_AFTER = 0.4
-#: Seconds after the store has come back from an older copy within which what
-#: the operator wrote since that copy is written again.
+#: Age of the confirmation at which the first gateway reads the store, how much
+#: longer each next one waits, and the age at which every gateway reads.  The
+#: others learn of a read after up to two report intervals.
+MIN_READ_AGE_SECONDS = 0.8
+ADDED_AGE_PER_POSITION_SECONDS = 0.3
+MAX_READ_AGE_SECONDS = 1.4
+#: Interval between two reads of the first gateway while the store fails.
+RETRY_INTERVAL_SECONDS = 0.4
+#: Time after a restore of the store from a backup within which the operator's
+#: changes since that backup are written again.
 RESTORED_SECONDS = 2.2
-#: Most seconds between two looks at the age.
-LOOK_EVERY = 0.1
+#: Interval between two checks of the age.
+CHECK_INTERVAL_SECONDS = 0.1
 
-#: Fetches the document of a version, or a newer one, from some peer.
-FromPeers = Callable[[int], Awaitable[bytes | None]]
+#: Fetches the document of at least a version from a peer.
+FetchFromPeers = Callable[[int], Awaitable[bytes | None]]
 
 
 class Refresher:
-    """Reads the configuration when its confirmation has become old.
+    """Reads the configuration when its confirmation is too old.
 
-    :param from_peers: used where a peer shows a newer version.
-    :param position: returns our place among the entries that hear each
-        other often, 0 for the first.
-    :param restored_at: returns when the store was last restored from a copy.
-    :ivar store: whether the store answers us.
+    :param from_peers: fetches a newer version that a peer has announced.
+    :param position: returns the position of this gateway in the order in which
+        those that hear each other often read the store, 0 for the first.
+    :param restored_at: returns when the store was last restored from a backup.
+    :ivar store: tracks whether the store answers.
     """
 
     __slots__ = (
@@ -50,7 +51,7 @@
         '_from_peers',
         '_clock',
         '_position',
-        '_heard',
+        '_announced_version',
         '_wake',
         '_not_before',
         'store',
@@ -61,7 +62,7 @@
         *,
         configuration: configurations.ActiveConfiguration,
         source: configurations.ConfigurationSource,
-        from_peers: FromPeers,
+        from_peers: FetchFromPeers,
         clock: Callable[[], float],
         position: Callable[[], int],
         restored_at: Callable[[], float] = lambda: float('-inf'),
@@ -72,17 +73,17 @@
         self._from_peers = from_peers
         self._clock = clock
         self._position = position
-        self._heard = 0
+        self._announced_version = 0
         self._wake = anyio.Event()
         self._not_before = float('-inf')
         self.store = contacts.Contact(
             name='store', use='configuration', clock=clock
         )
 
-    def hear(self, version: int) -> None:
-        """Learn that a peer has a version in force."""
-        if version > max(self._heard, self._configuration.version):
-            self._heard = version
+    def note_peer_version(self, version: int) -> None:
+        """Record that a peer has a version in force."""
+        if version > max(self._announced_version, self._configuration.version):
+            self._announced_version = version
             self._wake.set()
 
     async def run(self) -> None:
@@ -91,55 +92,63 @@
             if self._is_due():
                 await self._refresh()
             self._wake = anyio.Event()
-            with anyio.move_on_after(LOOK_EVERY):
+            with anyio.move_on_after(CHECK_INTERVAL_SECONDS):
                 await self._wake.wait()
 
     def _is_due(self) -> bool:
         now = self._clock()
         if now < self._not_before:
             return False
-        if self._heard > self._configuration.version:
+        if self._announced_version > self._configuration.version:
             return True
-        patience = READ_AFTER + LATER_EACH * self._position()
+        due_age = (
+            MIN_READ_AGE_SECONDS
+            + ADDED_AGE_PER_POSITION_SECONDS * self._position()
+        )
         age = now - self._configuration.confirmed_at
-        return age > min(READ_LATEST, patience)
+        return age > min(MAX_READ_AGE_SECONDS, due_age)
 
     async def _refresh(self) -> None:
-        if self._heard > self._configuration.version:
-            # A peer that shows a newer version has it whole, at no price.
-            await self._ask_peers()
-        if self._heard <= self._configuration.version and self._is_fresh():
+        if self._announced_version > self._configuration.version:
+            # A peer that announces a newer version has the whole document, and
+            # fetching it costs no call to the store.
+            await self._fetch_from_peers()
+        if (
+            self._announced_version <= self._configuration.version
+            and self._is_fresh()
+        ):
             return
         asked_at = self._clock()
         found = await self._source.fetch()
         match found:
             case bytes():
                 self.store.note_answer()
-                self._configuration.take(
-                    found, newest_at=self._date_read(asked_at)
+                self._configuration.apply(
+                    found, newest_at=self._find_confirmation_time(asked_at)
                 )
                 if self._configuration.confirmed_at < asked_at:
-                    # An older copy; all entries wait for the newer one.
+                    # The store was restored from a backup; all gateways wait
+                    # for the newer document.
                     self._pause()
             case store.Absent():
                 self.store.note_answer()
-                self._not_before = self._clock() + LOOK_EVERY
+                self._not_before = self._clock() + CHECK_INTERVAL_SECONDS
             case store.Unavailable(detail=detail):
                 self.store.note_failure(detail)
                 self._pause()
 
     def _pause(self) -> None:
-        """Read no sooner than after a pause, the longer the later we come."""
+        """Delay the next read, longer for gateways later in the order."""
         self._not_before = self._clock() + contacts.stretch_pause(
-            RETRY_AFTER, position=self._position()
+            RETRY_INTERVAL_SECONDS, position=self._position()
         )
 
-    def _date_read(self, asked_at: float) -> float:
-        """Return as of when a document that was read is the newest.
+    def _find_confirmation_time(self, asked_at: float) -> float:
+        """Return the time as of which a document that was read is the newest.
 
-        A store that has come back from a copy shows an older one for a
-        moment.  Believed to be the newest, it would give a key that was taken
-        away since the copy its time anew.
+        A store that was restored from a backup returns an older document for a
+        moment.  If that counted as the newest, a key revoked since the backup
+        would stay valid for the full time again.
         """
         if asked_at - self._restored_at() < RESTORED_SECONDS:
             return float('-inf')
@@ -147,14 +156,14 @@
 
     def _is_fresh(self) -> bool:
         age = self._clock() - self._configuration.confirmed_at
-        return age < READ_AFTER
+        return age < MIN_READ_AGE_SECONDS
 
-    async def _ask_peers(self) -> None:
-        """Take a newer version from a peer that has shown it.
+    async def _fetch_from_peers(self) -> None:
+        """Fetch a newer version from a peer that has announced it.
 
-        When the version is known to be the newest is told apart from it,
-        by reports.
+        The fetch confirms nothing: when the version was known to be the newest
+        is told by reports.
         """
-        document = await self._from_peers(self._heard)
+        document = await self._from_peers(self._announced_version)
         if document is not None:
-            self._configuration.take(document, newest_at=float('-inf'))
+            self._configuration.apply(document, newest_at=float('-inf'))
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -1,4 +1,4 @@
-"""What this entry tells its peers, and what it makes of their word."""
+"""Builds the reports to peers and applies the reports that arrive."""
 
 import dataclasses
 from typing import Callable
@@ -18,17 +18,17 @@
 from . import refresh
 from . import settings as settings_module
 
-#: Seconds for which one description of ourselves serves for reports.  What a
-#: report confirms can be so much older than its receiver takes it for, which
-#: is little against the margin of keys.
-DESCRIPTION_SECONDS = 0.03
-#: Seconds between two descriptions that name other peers.
-NAME_EVERY = 1.0
+#: Time for which the same description of this gateway is used in reports.
+#: What a report confirms can be older by this than its receiver assumes, which
+#: is little compared with the time allowed for revoking a key.
+MAX_DESCRIPTION_AGE_SECONDS = 0.03
+#: Interval between two descriptions that name other peers.
+NAMING_INTERVAL_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Parts:
-    """The parts of a process that reports tell of, and change."""
+class Components:
+    """The components that reports describe and update."""
 
     active_configuration: configurations.ActiveConfiguration
     refresher: refresh.Refresher
@@ -42,93 +42,98 @@
 
 
 class Reporter:
-    """Makes and takes reports.
+    """Builds reports to peers and applies theirs.
 
     :param settings: returns the settings in force.
     :param ready: returns whether callers may be sent here.
-    :param leaving: returns whether a stop was asked for.
+    :param leaving: returns whether this gateway is shutting down.
+    :param incarnation: random number of this start of the process.
     """
 
     __slots__ = (
-        '_parts',
+        '_components',
         '_settings',
         '_ready',
         '_leaving',
         '_incarnation',
         '_clock',
         '_description',
-        '_named_at',
+        '_peers_named_at',
     )
 
     def __init__(
         self,
         *,
-        parts: Parts,
+        components: Components,
         settings: Callable[[], settings_module.Settings],
         ready: Callable[[], bool],
         leaving: Callable[[], bool],
         incarnation: int,
         clock: Callable[[], float],
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._settings = settings
         self._ready = ready
         self._leaving = leaving
         self._incarnation = incarnation
         self._clock = clock
         self._description: peer_reports.Report | None = None
-        self._named_at = float('-inf')
+        self._peers_named_at = float('-inf')
 
-    def make(
-        self, peer: peers.Peer | None, period: float = 0.0
+    def build_report(
+        self, peer: peers.Peer | None, interval: float = 0.0
     ) -> peer_reports.Report:
-        """Return the report for a peer; all of one moment differ little.
+        """Return the report for a peer, built from a recent description.
 
-        :param period: seconds after which the next one comes.
+        :param peer: ``None`` for one that has not reported.
+        :param interval: seconds until its next report.
         """
         now = self._clock()
-        known = self._description
-        if known is None or now - known.sent > DESCRIPTION_SECONDS:
-            known = self._describe(now)
-            self._description = known
-        heard = None if peer is None else peer.report
-        if heard is None:
-            return msgspec.structs.replace(known, period=period)
+        description = self._description
+        if (
+            description is None
+            or now - description.sent > MAX_DESCRIPTION_AGE_SECONDS
+        ):
+            description = self._describe(now)
+            self._description = description
+        last = None if peer is None else peer.report
+        if last is None:
+            return msgspec.structs.replace(description, period=interval)
         return msgspec.structs.replace(
-            known,
-            echo=heard.sent,
-            echo_incarnation=heard.incarnation,
-            period=period,
+            description,
+            echo=last.sent,
+            echo_incarnation=last.incarnation,
+            period=interval,
         )
 
-    def forget(self) -> None:
-        """Describe ourselves anew for the next report."""
+    def invalidate(self) -> None:
+        """Build a new description for the next report."""
         self._description = None
 
-    def take(
+    def apply_report(
         self, report: peer_reports.Report, touched: frozenset[str]
     ) -> None:
-        """Believe what a peer says.
+        """Update the components from the report of a peer.
 
         :param touched: endpoints whose requests in flight may have changed.
         """
-        self._parts.store.hear_era(report.era)
-        self._parts.containment.exchange.hear(report)
-        self._parts.refresher.hear(report.version)
-        self._parts.follower.hear(change_revision=report.revision)
-        self._take_confirmation(report)
-        self._take_slow(report)
+        self._components.store.hear_era(report.era)
+        self._components.containment.exchange.hear(report)
+        self._components.refresher.note_peer_version(report.version)
+        self._components.follower.hear(change_revision=report.revision)
+        self._apply_confirmation(report)
+        self._apply_slowness(report)
         for service, seconds in report.passes.items():
-            self._parts.dispatcher.pace(service).note_told(seconds)
+            self._components.dispatcher.pace(service).note_told(seconds)
         for identity in touched:
-            endpoint = self._parts.table.find(identity)
+            endpoint = self._components.table.find(identity)
             if endpoint is not None:
-                endpoint.elsewhere = self._parts.peers.in_flight(identity)
-        self._parts.dispatcher.serve_all()
+                endpoint.elsewhere = self._components.peers.in_flight(identity)
+        self._components.dispatcher.serve_all()
 
     def _describe(self, now: float) -> peer_reports.Report:
-        """Return a report as of now, without an echo."""
-        parts = self._parts
+        """Return a new report without an echo."""
+        components = self._components
         settings = self._settings()
         calls = settings.calls
         return peer_reports.Report(
@@ -143,65 +148,69 @@
             leaving=self._leaving(),
             call_host='' if calls is None else calls.host,
             call_port=0 if calls is None else calls.port,
-            version=parts.active_configuration.version,
-            version_age=_age(now, parts.active_configuration.confirmed_at),
-            revision=parts.follower.change_revision,
-            revision_age=_age(now, parts.follower.store.reached_at),
-            settled=parts.follower.told_settled(),
+            version=components.active_configuration.version,
+            version_age=_age(
+                now, components.active_configuration.confirmed_at
+            ),
+            revision=components.follower.change_revision,
+            revision_age=_age(now, components.follower.store.reached_at),
+            settled=components.follower.told_settled(),
             in_flight={
                 endpoint.identity: endpoint.own
-                for endpoint in parts.table
+                for endpoint in components.table
                 if endpoint.own
             },
-            slow=self._list_slow(now),
+            slow_endpoints=self._list_slow(now),
             paces=self._list_paces(now),
-            fit=parts.leading.fit and self._ready(),
-            leads=parts.leading.led(),
-            strength=settings.strength,
+            can_lead=components.leading.fit and self._ready(),
+            leads=components.leading.led(),
+            capacity=settings.capacity,
             data_centre=settings.data_centre,
             passes=self._list_passes(),
-            suspect_news=parts.containment.exchange.tell(),
-            era=parts.store.era(),
-            known=self._name_peers(now),
+            suspect_news=components.containment.exchange.tell(),
+            era=components.store.era(),
+            known_peers=self._sample_peers(now),
         )
 
-    def _name_peers(self, now: float) -> tuple[peer_reports.KnownPeer, ...]:
-        """Return some peers now and then; they are most of a report."""
-        if now - self._named_at < NAME_EVERY:
+    def _sample_peers(self, now: float) -> tuple[peer_reports.KnownPeer, ...]:
+        """Return some peers once an interval; they are most of a report."""
+        if now - self._peers_named_at < NAMING_INTERVAL_SECONDS:
             return ()
-        self._named_at = now
-        return self._parts.peers.name_some(peer_reports.MOST_KNOWN)
+        self._peers_named_at = now
+        return self._components.peers.sample_live(
+            peer_reports.MAX_KNOWN_PEERS_PER_REPORT
+        )
 
-    def _take_confirmation(self, report: peer_reports.Report) -> None:
-        """Learn since when a version is known to be the newest.
+    def _apply_confirmation(self, report: peer_reports.Report) -> None:
+        """Record until when a peer knew the version to be the newest.
 
-        Without an echo of ours nothing tells how long the report was on its
-        way, or lay unread here.
+        Only the echo of a report of this gateway shows how old the peer's
+        report can be, including the time for which it lay unread here.
         """
         if report.version_age < 0.0 or not report.echo:
             return
         if report.echo_incarnation == self._incarnation:
-            self._parts.active_configuration.confirm(
+            self._components.active_configuration.confirm(
                 version=report.version,
                 newest_at=report.echo - report.version_age,
             )
 
-    def _take_slow(self, report: peer_reports.Report) -> None:
-        for identity, slowness in report.slow.items():
-            endpoint = self._parts.table.find(identity)
+    def _apply_slowness(self, report: peer_reports.Report) -> None:
+        for identity, slowness in report.slow_endpoints.items():
+            endpoint = self._components.table.find(identity)
             if endpoint is not None:
                 endpoint.quality.note_told(
                     slowness=slowness, now=self._clock()
                 )
 
         for identity, pace in report.paces.items():
-            endpoint = self._parts.table.find(identity)
+            endpoint = self._components.table.find(identity)
             if endpoint is not None:
                 endpoint.quality.note_told_pace(pace=pace, now=self._clock())
 
     def _list_passes(self) -> dict[str, float]:
-        """Return the last passes that our streams have shown."""
-        dispatcher = self._parts.dispatcher
+        """Return the last pass durations measured from streams here."""
+        dispatcher = self._components.dispatcher
         passes = {
             service: dispatcher.pace(service).passes.own()
             for service in dispatcher.paced_services()
@@ -213,10 +222,10 @@
         }
 
     def _list_paces(self, now: float) -> dict[str, float]:
-        """Return the slow ranks that have told us so."""
+        """Return the ranks that report to this gateway that they are slow."""
         paces = {
             one.identity: one.quality.own_pace(now=now)
-            for one in self._parts.table
+            for one in self._components.table
         }
         return {
             identity: round(pace, 2)
@@ -225,8 +234,11 @@
         }
 
     def _list_slow(self, now: float) -> dict[str, float]:
-        """Return the endpoints that we find slow or failing ourselves."""
-        table = self._parts.table
+        """Return the endpoints that are slow or failing in requests from here.
+
+        What peers report of them is left out.
+        """
+        table = self._components.table
         usual = {
             service: table.usual_seconds(service)
             for service in {one.record.service for one in table}
@@ -245,5 +257,5 @@
 
 
 def _age(now: float, at: float) -> float:
-    """Return the age of a time, negative for a time that never was."""
+    """Return the age of a time, -1 for one that never was."""
     return now - at if at != float('-inf') else -1.0
--- a/marigoldramp/gateway/settings.py
+++ b/marigoldramp/gateway/settings.py
@@ -1,6 +1,6 @@
-"""Settings of one gateway process, as its adapter reads them.
+"""Settings of one gateway process, as read by its platform adapter.
 
-Times are in seconds.  The adapter checks the file; what is here is sound.
+Times are in seconds.  The adapter validates the file before it creates these.
 """
 
 import dataclasses
@@ -9,23 +9,25 @@
 from . import retry_budget
 
 Address = outbound.Address
-#: Bytes a second of a link that go with one core.  A leader of 192 ranks sends
-#: 4.8 MB for one change, and a core some 2,000 orders a second.
-LINK_A_CORE = 2_500_000.0
+#: Link bandwidth in bytes per second that balances one core: a leader of 192
+#: ranks sends 4.8 MB for one change of the expert map, and a core sends about
+#: 2,000 orders per second.
+LINK_BYTES_PER_SECOND_PER_CORE = 2_500_000.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Bounds:
     """Bounds that the operator sets for a whole deployment.
 
-    :ivar drain: within which a leaving endpoint must get nothing new.
-    :ivar grace: between the request for a stop and the forced one.
-    :ivar apply: within which a configuration is to be in force.
-    :ivar revoke: after which a removed key must not work any more.
-    :ivar longest_addresses: for which callers keep an address answer.
-    :ivar retries: the budget of repeated sends.
-    :ivar fenced: endpoints check fencing numbers of orders.
-    :ivar stall: for which a group of ranks waits for a dead rank.
+    :ivar drain: time within which a leaving endpoint must stop getting new
+        requests.
+    :ivar grace: time between the request to stop and the forced stop.
+    :ivar apply: time within which a new configuration must be in force.
+    :ivar revoke: time after which a removed key must be rejected.
+    :ivar longest_addresses: time for which callers cache addresses.
+    :ivar retries: retry budget.
+    :ivar fenced: endpoints check the fencing tokens of orders.
+    :ivar stall: time for which a group of ranks waits for a dead rank.
     """
 
     drain: float
@@ -40,19 +42,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Settings:
-    """Everything that a process is told at its start.
+    """Settings of one gateway.
 
-    :ivar calls: where callers connect.
-    :ivar readiness: where the platform asks whether we take requests.
-    :ivar addresses: where callers ask for addresses.
-    :ivar peers: where other entries reach us, by TCP and by UDP.
-    :ivar metrics: where metrics can be read.
-    :ivar seeds: peers that may live; they may be stale.
-    :ivar store: the platform's store.
-    :ivar descriptors: sockets that the process may open.
-    :ivar cores: processor time that the process may use in a second, in
-        seconds of a usual core.
-    :ivar link_rate: bytes a second of the instance's link.
+    :ivar instance: name of the instance, which is also the gateway's.
+    :ivar calls: listening address for callers, ``None`` if it serves none.
+    :ivar readiness: listening address for readiness checks of the platform.
+    :ivar addresses: listening address for callers that ask for the addresses
+        of gateways.
+    :ivar peers: listening address for peers, over TCP and UDP.
+    :ivar metrics: listening address for metrics.
+    :ivar seeds: addresses of possible peers; they may be out of date.
+    :ivar store: address of the platform's store.
+    :ivar descriptors: maximum number of open sockets.
+    :ivar cores: processor time per second that the process may use, in seconds
+        of a standard core.
+    :ivar link_rate: bandwidth of the instance's link in bytes per second.
     """
 
     instance: str
@@ -71,12 +75,12 @@
     bounds: Bounds
 
     @property
-    def strength(self) -> float:
-        """How much the instance can do, in cores.
+    def capacity(self) -> float:
+        """Return the capacity of the instance, in cores.
 
-        The leader of a large group tells all ranks of each change while it
-        serves callers.  Where instances are of unlike size, one with two
-        cores and 100 Mbit/s does so in less than half of the time of one with
-        one core and 20 Mbit/s, and the group is even for so much longer.
+        The leader of a large group sends each change of the expert map to all
+        ranks while it serves callers.  An instance with two cores and
+        100 Mbit/s takes less than half as long for this as one with one core
+        and 20 Mbit/s, and the load of the ranks is balanced so much sooner.
         """
-        return min(self.cores, self.link_rate / LINK_A_CORE)
+        return min(self.cores, self.link_rate / LINK_BYTES_PER_SECOND_PER_CORE)
--- a/marigoldramp/gateway/status.py
+++ b/marigoldramp/gateway/status.py
@@ -1,4 +1,4 @@
-"""What an entry shows operators of its state and of what it believes."""
+"""The status that a gateway shows to operators."""
 
 from typing import Callable
 
@@ -10,13 +10,14 @@
 
 
 class EndpointStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One endpoint as an entry sees it.
-
-    :ivar state: ``open``, ``resting`` after failures, or ``leaving``.
-    :ivar own: requests of this entry that run on it.
-    :ivar elsewhere: requests that other entries say run on it.
-    :ivar errors: the part of its requests that it fails, 0 to 1.
-    :ivar slowness: times longer than usual that it takes, 1 for usual.
+    """One endpoint as a gateway sees it.
+
+    :ivar state: ``open``, ``resting`` (in backoff after failures), or
+        ``leaving``.
+    :ivar own: requests of this gateway that run on it.
+    :ivar elsewhere: requests that peers report to run on it.
+    :ivar errors: fraction of its requests that fail, 0 to 1.
+    :ivar slowness: latency relative to the usual one, 1 for usual.
     """
 
     identity: str
@@ -31,12 +32,13 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One other entry as an entry sees it.
+    """One peer as a gateway sees it.
 
-    :ivar state: ``ready``, ``not ready``, ``leaving``, ``silent`` for one
-        that was heard before, or ``unheard``.
+    :ivar state: ``ready``, ``not ready``, ``leaving``, ``silent`` if its
+        reports have stopped, or ``unheard`` if it never reported.
+    :ivar version: configuration in force at the peer.
     :ivar heard_age: seconds since its last report, ``None`` for never.
-    :ivar period: seconds between its reports, 0 if unknown.
+    :ivar period: interval of its reports in seconds, 0 if unknown.
     """
 
     instance: str
@@ -49,9 +51,10 @@
 
 
 class QueueStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests that wait for a service.
+    """The queue of requests that wait for an endpoint of a service.
 
-    :ivar share: pauses of its streams, as a part of the accepted ones.
+    :ivar share: pauses between events of the service's streams, as a fraction
+        of the accepted pause.
     """
 
     service: str
@@ -60,10 +63,10 @@
 
 
 class BlockedStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A request that is sent to no endpoint.
+    """A request that is blocked, as endpoints have ended while running it.
 
-    :ivar ends: endpoints that have ended under it.
-    :ivar seconds: after which it may be tried again.
+    :ivar ends: number of endpoints that have ended while running it.
+    :ivar seconds: time until it may be tried again.
     """
 
     fingerprint: str
@@ -72,14 +75,14 @@
 
 
 class Status(msgspec.Struct, frozen=True, kw_only=True):
-    """The state of one entry; ages in seconds, ``None`` for never.
+    """The status of one gateway; ages in seconds, ``None`` for never.
 
     :ivar running: requests that have not ended.
-    :ivar version_age: since the configuration in force was known to be the
-        newest.
-    :ivar store_age: since the store last answered for endpoints.
-    :ivar relies: peers of its data centre follow the endpoints for it, so it
-        does not ask the store itself.
+    :ivar version_age: time since the configuration in force was last known to
+        be the newest.
+    :ivar store_age: time since the store last answered about endpoints.
+    :ivar relies: it gets changes of endpoints from peers in its data centre
+        instead of from the store.
     :ivar leads: groups of ranks that it leads.
     """
 
@@ -100,13 +103,15 @@
 
 
 class Describer:
-    """Describes the entry that it belongs to.
+    """Builds the status of this gateway.
 
+    :param ready: returns whether callers may be sent here.
+    :param leaving: returns whether this gateway is shutting down.
     :param running: returns how many requests have not ended.
     """
 
     __slots__ = (
-        '_parts',
+        '_components',
         '_instance',
         '_data_centre',
         '_ready',
@@ -118,7 +123,7 @@
     def __init__(
         self,
         *,
-        parts: reporting.Parts,
+        components: reporting.Components,
         instance: str,
         data_centre: str,
         ready: Callable[[], bool],
@@ -126,7 +131,7 @@
         running: Callable[[], int],
         clock: Callable[[], float],
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._instance = instance
         self._data_centre = data_centre
         self._ready = ready
@@ -135,10 +140,10 @@
         self._clock = clock
 
     def describe(self) -> Status:
-        """Return the state as of now."""
-        parts = self._parts
+        """Return the current status."""
+        components = self._components
         now = self._clock()
-        known = sorted(parts.table, key=lambda one: one.identity)
+        known = sorted(components.table, key=lambda one: one.identity)
         services = sorted({one.record.service for one in known})
         return Status(
             instance=self._instance,
@@ -146,22 +151,26 @@
             ready=self._ready(),
             leaving=self._leaving(),
             running=self._running(),
-            version=parts.active_configuration.version,
-            version_age=_age(now, parts.active_configuration.confirmed_at),
-            store_age=_age(now, parts.follower.store.reached_at),
-            relies=parts.follower.relies(),
-            leads=parts.leading.led(),
+            version=components.active_configuration.version,
+            version_age=_age(
+                now, components.active_configuration.confirmed_at
+            ),
+            store_age=_age(now, components.follower.store.reached_at),
+            relies=components.follower.relies(),
+            leads=components.leading.led(),
             queues=tuple(self._describe_queue(name) for name in services),
             endpoints=tuple(self._describe_endpoint(one) for one in known),
             peers=tuple(
                 _describe_peer(one, now)
-                for one in sorted(parts.peers, key=lambda one: one.instance)
+                for one in sorted(
+                    components.peers, key=lambda one: one.instance
+                )
             ),
             blocked=self._describe_blocked(),
         )
 
     def _describe_blocked(self) -> tuple[BlockedStatus, ...]:
-        blocked = self._parts.containment.suspects.list_blocked()
+        blocked = self._components.containment.suspects.list_blocked()
         return tuple(
             BlockedStatus(
                 fingerprint=fingerprint,
@@ -172,7 +181,7 @@
         )
 
     def _describe_queue(self, service: str) -> QueueStatus:
-        dispatcher = self._parts.dispatcher
+        dispatcher = self._components.dispatcher
         return QueueStatus(
             service=service,
             waiting=dispatcher.waiting(service),
@@ -181,7 +190,7 @@
 
     def _describe_endpoint(self, one: endpoints.Endpoint) -> EndpointStatus:
         now = self._clock()
-        usual = self._parts.table.usual_seconds(one.record.service)
+        usual = self._components.table.usual_seconds(one.record.service)
         state = 'open' if one.is_open(now=now) else 'resting'
         return EndpointStatus(
             identity=one.identity,
@@ -220,5 +229,5 @@
 
 
 def _age(now: float, since: float) -> float | None:
-    """Return an age; the beginning of time stands for never."""
+    """Return an age in seconds, or ``None`` for never."""
     return None if since == float('-inf') else round(now - since, 3)
--- a/marigoldramp/gateway/stopping.py
+++ b/marigoldramp/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop: nothing that callers have sent is cut off."""
+"""The graceful shutdown, which cuts off no request of a caller."""
 
 import dataclasses
 from typing import Awaitable
@@ -10,56 +10,58 @@
 from . import inbound
 from . import listeners
 
-#: Seconds for which new connections are still taken after the request for a
-#: stop, at least and at most: callers keep an address answer for a while.
-#: In between it ends when none has come for some time.  An instance that
-#: takes longer to stop is missing longer, and others stop meanwhile.
-ACCEPTING_LEAST = 0.8
-ACCEPTING_MOST = 2.5
+#: How long new connections are still accepted after the request to stop, as
+#: callers cache addresses for a while.  Between these bounds it ends once no
+#: request has come for ``QUIET_SECONDS``.  The longer an instance takes to
+#: stop, the longer it is missing, and others may stop meanwhile.
+MIN_ACCEPTING_SECONDS = 0.8
+MAX_ACCEPTING_SECONDS = 2.5
 QUIET_SECONDS = 0.5
-#: Seconds for which a connection must be idle before a stop closes it; a
-#: request may be on its way on one that has just been opened or used.
-IDLE_BEFORE_CLOSE = 0.25
-#: Seconds before the forced stop at which the process ends by itself.
-SPARE = 0.4
-#: Seconds between two looks at what is still open.
-LOOK_EVERY = 0.05
+#: How long a connection must be idle before it is closed: a request may be on
+#: its way on one that has just been opened or used.
+MIN_IDLE_SECONDS = 0.25
+#: How long before the forced stop the process exits by itself.
+EXIT_MARGIN_SECONDS = 0.4
+CHECK_INTERVAL_SECONDS = 0.05
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class Parts:
-    """What a stop needs of a process.
+class Components:
+    """The components that take part in a shutdown.
 
-    :ivar resign: gives up what this entry leads.
-    :ivar connections: of callers; the collection changes meanwhile.
-    :ivar asked_at: returns when the last request came.
+    :ivar resign: gives up leadership of all groups of ranks.
+    :ivar listener: accepts the connections of callers.
+    :ivar connections: connections of callers, which change meanwhile.
+    :ivar last_request_at: returns when the last request came.
     """
 
     resign: Callable[[], Awaitable[None]]
     listener: listeners.Listener
     connections: Collection[inbound.Connection]
-    asked_at: Callable[[], float]
+    last_request_at: Callable[[], float]
     clock: Callable[[], float]
 
 
-async def lead_through(parts: Parts, *, grace: float) -> None:
-    """Return when all requests have ended, or the time is over.
+async def shut_down(components: Components, *, grace: float) -> None:
+    """Shut down; return when all requests have ended, or at the deadline.
 
-    :param grace: seconds between the request for a stop and the forced one.
+    :param grace: seconds between the request to stop and the forced stop.
     """
-    begun = parts.clock()
+    started_at = components.clock()
     with anyio.move_on_after(grace / 2):
-        await parts.resign()
-    ends = begun + grace - SPARE
-    await anyio.sleep(ACCEPTING_LEAST)
-    while parts.clock() < min(begun + ACCEPTING_MOST, ends):
-        if parts.clock() - parts.asked_at() > QUIET_SECONDS:
+        await components.resign()
+    deadline = started_at + grace - EXIT_MARGIN_SECONDS
+    await anyio.sleep(MIN_ACCEPTING_SECONDS)
+    while components.clock() < min(
+        started_at + MAX_ACCEPTING_SECONDS, deadline
+    ):
+        if components.clock() - components.last_request_at() > QUIET_SECONDS:
             break
-        await anyio.sleep(LOOK_EVERY)
-    parts.listener.close()
-    while parts.clock() < ends:
-        for connection in list(parts.connections):
-            connection.close_if_idle(longer_than=IDLE_BEFORE_CLOSE)
-        if not parts.connections:
+        await anyio.sleep(CHECK_INTERVAL_SECONDS)
+    components.listener.close()
+    while components.clock() < deadline:
+        for connection in list(components.connections):
+            connection.close_if_idle(longer_than=MIN_IDLE_SECONDS)
+        if not components.connections:
             break
-        await anyio.sleep(LOOK_EVERY)
+        await anyio.sleep(CHECK_INTERVAL_SECONDS)
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -1,8 +1,8 @@
-"""Several gateways that report to each other, before endpoints that can end.
+"""Runs several gateways that report to each other, and endpoints that can end.
 
 An endpoint ends when it begins to run a request whose body says so: its port
-closes, and so do all its connections.  It is back under another name, which
-each gateway learns of from discovery.
+and all its connections close.  It is replaced by one with another name, of
+which each gateway learns from discovery.
 """
 
 import contextlib
@@ -21,16 +21,16 @@
 from . import fake_endpoint as fake
 from . import site
 
-#: What the body of a request says that ends its endpoint.
+#: Text in the body of a request that ends its endpoint.
 ENDS_ENDPOINT = b'ends its endpoint'
-#: What the body of a request says that runs until it is told to go on.
+#: Text in the body of a request that runs until ``Fleet.go_on`` is set.
 HELD = b'held'
 
 
 class Endpoint:
     """An endpoint that ends when a request says so.
 
-    :ivar ended: set when it has.
+    :ivar ended: set when it has ended.
     """
 
     def __init__(self, *, identity, fleet):
@@ -112,13 +112,14 @@
 
 
 class Fleet:
-    """Gateways and endpoints.
+    """A set of gateways and endpoints.
 
-    :ivar sends: requests that came to an endpoint, in order.
+    :ivar sends: requests that arrived at an endpoint, in order.
     :ivar ends: endpoints that have ended, in order.
-    :ivar entries: the gateways, by instance.
-    :ivar sound_customers: whose requests end nothing, whatever they say.
-    :ivar cut: instances that hear no other gateway and are heard by none.
+    :ivar entries: running gateways by instance.
+    :ivar sound_customers: customers whose requests never end an endpoint.
+    :ivar cut: instances that are partitioned from all other gateways.
+    :ivar go_on: set to let requests with ``HELD`` in the body finish.
     """
 
     def __init__(self, *, tasks, configuration):
@@ -147,7 +148,7 @@
         self.endpoints.append(endpoint)
 
     async def start_entry(self, instance):
-        """Start a gateway, once more if it ran before."""
+        """Start a gateway, which may have run before."""
         scope = anyio.CancelScope()
         self._scopes[instance] = scope
         await self._tasks.start(self._run_entry, instance, scope)
@@ -156,13 +157,13 @@
         await entry.until(entry.gateway.is_ready)
 
     async def kill_entry(self, instance):
-        """End a gateway at once; it keeps nothing."""
+        """End a gateway at once, so that it loses its state."""
         entry = self.entries.pop(instance)
         self._scopes.pop(instance).cancel()
         await entry.ended.wait()
 
     async def revive(self):
-        """Start an endpoint for each that has ended, and tell all entries."""
+        """Replace each ended endpoint, and update all gateways."""
         gone = [one for one in self.endpoints if one.ended.is_set()]
         self.endpoints = [one for one in self.endpoints if one not in gone]
         for _ in gone:
@@ -172,7 +173,7 @@
             self._show(entry)
 
     async def keep_reviving(self):
-        """Bring endpoints back until cancelled."""
+        """Replace ended endpoints until cancelled."""
         while True:
             await self.until(
                 lambda: any(one.ended.is_set() for one in self.endpoints)
@@ -180,7 +181,7 @@
             await self.revive()
 
     async def exchange(self):
-        """Wait until each gateway has heard each other one it can hear."""
+        """Wait for a report from each gateway to each reachable one."""
         since = next(iter(self.entries.values())).gateway._clock()
         for instance, entry in self.entries.items():
             for other in self.entries:
@@ -191,17 +192,17 @@
                 )
 
     async def until(self, condition):
-        """Wait until something holds."""
+        """Wait until a condition holds."""
         with anyio.fail_after(site.TIMEOUT_SECONDS):
             while not condition():
                 await anyio.sleep(0.005)
 
     async def until_sent(self, count):
-        """Wait until endpoints have got so many requests."""
+        """Wait until this many requests have arrived at endpoints."""
         await self.until(lambda: len(self.sends) >= count)
 
     async def call(self, instance, path, body, **more):
-        """Make one request at a gateway."""
+        """Send one request to a gateway."""
         return await site.call(
             self.entries[instance],
             'POST',
@@ -216,7 +217,7 @@
         return sum(ENDS_ENDPOINT in seen.body for seen in self.sends[since:])
 
     def _show(self, entry):
-        """Show a gateway the endpoints that there are."""
+        """Make a gateway's discovery list the current endpoints."""
         records = [site.make_record(one) for one in self.endpoints]
         known = {record.identity for record in records}
         removed = {one.identity for one in entry.gateway.table} - known
@@ -258,7 +259,7 @@
 
 
 def heard(entry, other, since):
-    """Whether a gateway has a report that another made after a time."""
+    """Whether a gateway has a report that a peer sent after a time."""
     for peer in entry.gateway.peers:
         if peer.instance == other and peer.report is not None:
             return peer.report.sent > since
@@ -269,7 +270,7 @@
 async def run_fleet(
     monkeypatch, *, entries=3, endpoints=4, configuration=None
 ):
-    """Run gateways that know each other before endpoints."""
+    """Run endpoints, and gateways that have heard each other."""
     async with anyio.create_task_group() as tasks:
         fleet = Fleet(
             tasks=tasks,
@@ -298,8 +299,8 @@
 
 
 def cut_reports(monkeypatch, fleet):
-    """Have gateways that are cut off hear nothing of each other."""
-    take = gossip.Gossip._hear
+    """Drop reports and fetches to and from partitioned gateways."""
+    take = gossip.Gossip._handle_datagram
     fetch = peer_exchange.fetch
 
     def hear(self, data, source):
@@ -315,5 +316,5 @@
             return None
         return await fetch(address=address, path=path)
 
-    monkeypatch.setattr(gossip.Gossip, '_hear', hear)
+    monkeypatch.setattr(gossip.Gossip, '_handle_datagram', hear)
     monkeypatch.setattr(peer_exchange, 'fetch', fetch_unless_cut)
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -1,4 +1,4 @@
-"""A gateway on real sockets before fake endpoints and a fake store."""
+"""Runs a gateway on real sockets with fake endpoints and a fake store."""
 
 import contextlib
 import dataclasses
@@ -22,13 +22,13 @@
 from marigoldramp import store
 
 HOST = '127.0.0.1'
-ANY = settings.Address(host=HOST, port=0)
-NAME = 'notes.example'
+FREE_PORT = settings.Address(host=HOST, port=0)
+HOST_NAME = 'notes.example'
 TIMEOUT_SECONDS = 10.0
 
 
 class FakeStore(store.PlatformStore):
-    """Objects in memory; ``away`` makes every call fail."""
+    """Keeps objects in memory; ``away`` makes every call fail."""
 
     name = 'gateway_test_store'
 
@@ -84,8 +84,8 @@
         pass
 
 
-class FakeConfigurations(configurations.ConfigurationSource):
-    """A configuration that a test changes."""
+class FakeConfigurationSource(configurations.ConfigurationSource):
+    """Serves a configuration that a test can change."""
 
     def __init__(self):
         self.current = None
@@ -108,7 +108,7 @@
 
 
 class FakeEndpoints(listings.EndpointSource):
-    """Endpoints that a test changes."""
+    """Serves a list of endpoints that a test can change."""
 
     def __init__(self):
         self.records = ()
@@ -136,16 +136,16 @@
         return listings.Changes(records=(), removed=(), revision=after)
 
     def show(self, change):
-        """Have the watch return a change."""
+        """Make the watch return a change."""
         self.changes.append(change)
         self.changed.set()
 
 
 def make_route(**more):
-    """Return a route; ``more`` replaces what it usually is."""
+    """Return a route; ``more`` overrides its default fields."""
     values = dict(
         name='r',
-        host=NAME,
+        host=HOST_NAME,
         prefix='/notes/',
         targets=(deployment.Target(service='notes', weight=1.0),),
         retry_policy=deployment.RetryPolicy.ALLOWED,
@@ -189,7 +189,7 @@
 
 
 def make_report(instance='p', **more):
-    """Return what an entry reports."""
+    """Return a report of a peer; ``more`` overrides its default fields."""
     values = dict(
         instance=instance,
         host='h',
@@ -212,18 +212,18 @@
 
 
 def make_settings(instance='entry-1', **more):
-    """Return settings of a process that listens on any ports."""
+    """Return settings of a gateway that listens on free ports."""
     values = dict(
         instance=instance,
         data_centre='one',
         region='r',
-        calls=ANY,
-        readiness=ANY,
-        addresses=ANY,
-        peers=ANY,
-        metrics=ANY,
+        calls=FREE_PORT,
+        readiness=FREE_PORT,
+        addresses=FREE_PORT,
+        peers=FREE_PORT,
+        metrics=FREE_PORT,
         seeds=(),
-        store=ANY,
+        store=FREE_PORT,
         descriptors=1000,
         cores=1.0,
         link_rate=2_500_000.0,
@@ -243,15 +243,15 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Site:
-    """One gateway and what surrounds it."""
+    """A running gateway and its fake data sources."""
 
     gateway: program.Program
-    configuration: FakeConfigurations
+    configuration: FakeConfigurationSource
     endpoints: FakeEndpoints
     store: FakeStore
 
     async def until(self, condition):
-        """Wait until something holds."""
+        """Wait until a condition holds."""
         with anyio.fail_after(TIMEOUT_SECONDS):
             while not condition():
                 await anyio.sleep(0.005)
@@ -259,7 +259,7 @@
 
 @contextlib.asynccontextmanager
 async def run_site(*fakes, configuration=None, ready=True, **more):
-    """Run a gateway before fake endpoints."""
+    """Run a gateway and fake endpoints."""
     async with contextlib.AsyncExitStack() as stack:
         for fake in fakes:
             await stack.enter_async_context(fake.serve())
@@ -281,8 +281,8 @@
 
 @contextlib.asynccontextmanager
 async def run_entry(*, configuration, found, objects, process):
-    """Run a gateway with these sources of what it knows."""
-    config = FakeConfigurations()
+    """Run a gateway with the given data sources."""
+    config = FakeConfigurationSource()
     config.current = configuration
     adapter = adapter_module.Adapter(
         codec=headers.Codec(),
@@ -310,10 +310,10 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Got:
-    """An answer as a caller got it.
+class Answer:
+    """An answer that a caller received.
 
-    :ivar complete: it came to its proper end.
+    :ivar complete: the answer arrived to its end.
     """
 
     status: int
@@ -338,7 +338,7 @@
             h11.Request(method=method, target='/', headers=[('host', 'x')])
         )
         connection.send(h11.EndOfMessage())
-    got = Got(status=0, headers={}, body=b'', complete=False)
+    answer = Answer(status=0, headers={}, body=b'', complete=False)
     try:
         with anyio.fail_after(TIMEOUT_SECONDS):
             while True:
@@ -350,20 +350,20 @@
                         data = b''
                     connection.receive_data(data)
                 elif isinstance(event, h11.Response):
-                    got.status = event.status_code
-                    got.headers = {
+                    answer.status = event.status_code
+                    answer.headers = {
                         name.decode(): value.decode()
                         for name, value in event.headers
                     }
                 elif isinstance(event, h11.Data):
-                    got.body += event.data
+                    answer.body += event.data
                 elif isinstance(event, h11.EndOfMessage):
-                    got.complete = True
-                    return got
+                    answer.complete = True
+                    return answer
                 elif isinstance(event, h11.ConnectionClosed):
-                    return got
+                    return answer
     except (h11.RemoteProtocolError, anyio.BrokenResourceError):
-        return got
+        return answer
 
 
 async def send_request(
@@ -373,7 +373,7 @@
     *,
     body=b'',
     attempt='a1',
-    host=NAME,
+    host=HOST_NAME,
     more='',
 ):
     """Send one request."""
@@ -385,7 +385,7 @@
 
 
 async def call(site, method='GET', path='/notes/1', **more):
-    """Make one request by a connection of its own."""
+    """Make one request on a new connection."""
     async with connect(site) as stream:
         await send_request(stream, method, path, **more)
         return await read_answer(stream, method)
--- a/tests/gateway/test_gateway_state.py
+++ b/tests/gateway/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry believes of configuration, peers and endpoints."""
+"""Tests of a gateway's state: configuration, peers, endpoints and queues."""
 
 import random
 
@@ -112,7 +112,7 @@
     assert splitter.rest == b'id: 9\ndata: rest'
 
 
-# The budget of repeats
+# The retry budget
 
 
 @hypothesis.given(
@@ -157,7 +157,7 @@
 
 
 class Source(configurations.ConfigurationSource):
-    """Documents that are versions."""
+    """Decodes documents that hold only their version."""
 
     async def fetch(self):
         raise NotImplementedError
@@ -170,12 +170,12 @@
     strategies.lists(strategies.integers(1, 9), min_size=1, max_size=20)
 )
 def test_configuration_never_goes_back(versions):
-    held = configurations.ActiveConfiguration(source=Source())
+    active = configurations.ActiveConfiguration(source=Source())
     highest = 0
     for number, version in enumerate(versions):
-        held.take(b'%d' % version, newest_at=float(number))
+        active.apply(b'%d' % version, newest_at=float(number))
         highest = max(highest, version)
-        assert held.version == highest
+        assert active.version == highest
 
 
 @pytest.mark.parametrize(
@@ -183,44 +183,43 @@
     [(2, 5.0, 5.0), (2, 0.5, 1.0), (1, 5.0, 1.0), (3, 5.0, 1.0)],
 )
 def test_only_the_version_in_force_is_confirmed(version, at, expected):
-    held = configurations.ActiveConfiguration(source=Source())
-    held.take(b'2', newest_at=1.0)
-    held.confirm(version=version, newest_at=at)
-    assert held.confirmed_at == expected
+    active = configurations.ActiveConfiguration(source=Source())
+    active.apply(b'2', newest_at=1.0)
+    active.confirm(version=version, newest_at=at)
+    assert active.confirmed_at == expected
 
 
 def test_version_from_a_peer_keeps_the_age_of_what_was_known():
-    """Keys are refused for a moment after each change.
+    """Guards against keys being rejected for a moment after each change.
 
-    Sequence: a newer configuration is fetched from a peer, which does not
-    say since when it is the newest.
-    Cause: the time of the last confirmation forgotten.
+    A newer configuration is fetched from a peer, which does not say when it
+    was the newest.  The time of the last confirmation must still count.
     """
-    held = configurations.ActiveConfiguration(source=Source())
-    held.take(b'2', newest_at=5.0)
-    held.take(b'3', newest_at=float('-inf'))
-    assert (held.version, held.confirmed_at) == (3, 5.0)
+    active = configurations.ActiveConfiguration(source=Source())
+    active.apply(b'2', newest_at=5.0)
+    active.apply(b'3', newest_at=float('-inf'))
+    assert (active.version, active.confirmed_at) == (3, 5.0)
 
 
 def test_document_that_cannot_be_read_changes_nothing():
-    held = configurations.ActiveConfiguration(source=Source())
-    held.take(b'2', newest_at=1.0)
-    assert not held.take(b'broken', newest_at=2.0)
-    assert (held.version, held.confirmed_at) == (2, 1.0)
+    active = configurations.ActiveConfiguration(source=Source())
+    active.apply(b'2', newest_at=1.0)
+    assert not active.apply(b'broken', newest_at=2.0)
+    assert (active.version, active.confirmed_at) == (2, 1.0)
 
 
-async def test_entries_read_the_store_in_turn_when_they_hear_peers():
-    source = site.FakeConfigurations()
+async def test_gateways_read_the_store_in_turn_when_they_hear_peers():
+    source = site.FakeConfigurationSource()
     source.current = site.make_configuration()
-    held = configurations.ActiveConfiguration(source=source)
-    refresher = make_refresher(held, source)
+    active = configurations.ActiveConfiguration(source=source)
+    refresher = make_refresher(active, source)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(refresher.run)
         await anyio.sleep(1.0)
         first = source.reads
         for _ in range(100):
             await anyio.sleep(0.1)
-            held.confirm(version=1, newest_at=virtual_time.now())
+            active.confirm(version=1, newest_at=virtual_time.now())
         quiet = source.reads
         await anyio.sleep(10.0)
         tasks.cancel_scope.cancel()
@@ -229,10 +228,10 @@
     assert 8 <= source.reads - quiet <= 15
 
 
-async def test_newer_version_is_taken_from_a_peer_while_the_store_is_away():
-    source = site.FakeConfigurations()
+async def test_newer_version_is_fetched_from_a_peer_while_the_store_is_down():
+    source = site.FakeConfigurationSource()
     source.current = site.make_configuration()
-    held = configurations.ActiveConfiguration(source=source)
+    active = configurations.ActiveConfiguration(source=source)
     asked = []
 
     async def from_peers(version):
@@ -240,24 +239,24 @@
         source.current = site.make_configuration(version=version)
         return msgspec.json.encode(version)
 
-    refresher = make_refresher(held, source, from_peers)
+    refresher = make_refresher(active, source, from_peers)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(refresher.run)
         await anyio.sleep(1.0)
         source.away = True
-        refresher.hear(4)
+        refresher.note_peer_version(4)
         await anyio.sleep(1.0)
         tasks.cancel_scope.cancel()
-    assert held.version == 4
+    assert active.version == 4
     assert asked[0] == 4
 
 
-def make_refresher(held, source, from_peers=None):
+def make_refresher(active, source, from_peers=None):
     async def nobody(version):
         return None
 
     return refresh.Refresher(
-        configuration=held,
+        configuration=active,
         source=source,
         from_peers=from_peers or nobody,
         clock=virtual_time.now,
@@ -275,20 +274,21 @@
 def test_requests_of_live_peers_count_once():
     clock = Clock()
     table = make_peers(clock)
-    table.take(site.make_report('a', in_flight={'x': 2}))
-    table.take(site.make_report('b', in_flight={'x': 1, 'y': 1}))
+    table.apply_report(site.make_report('a', in_flight={'x': 2}))
+    table.apply_report(site.make_report('b', in_flight={'x': 1, 'y': 1}))
     assert (table.in_flight('x'), table.in_flight('y')) == (3, 1)
-    table.take(site.make_report('a', sent=2.0, in_flight={'x': 1}))
+    table.apply_report(site.make_report('a', sent=2.0, in_flight={'x': 1}))
     assert table.in_flight('x') == 2
     assert (
-        table.take(site.make_report('a', sent=1.5, in_flight={'x': 9})) is None
+        table.apply_report(site.make_report('a', sent=1.5, in_flight={'x': 9}))
+        is None
     )
     assert table.in_flight('x') == 2
-    clock.now += peers.SILENT_AFTER + 0.1
-    table.take(site.make_report('b', sent=3.0, in_flight={'y': 1}))
-    table.drop_silent()
+    clock.now += peers.MIN_SILENCE_SECONDS + 0.1
+    table.apply_report(site.make_report('b', sent=3.0, in_flight={'y': 1}))
+    table.expire_silent()
     assert (table.in_flight('x'), table.in_flight('y')) == (0, 1)
-    table.take(site.make_report('a', sent=3.0, in_flight={'x': 4}))
+    table.apply_report(site.make_report('a', sent=3.0, in_flight={'x': 4}))
     assert table.in_flight('x') == 4
 
 
@@ -303,7 +303,7 @@
 )
 def test_only_ready_peers_are_given_to_callers(more, listed):
     table = make_peers(Clock())
-    table.take(site.make_report(**more))
+    table.apply_report(site.make_report(**more))
     assert bool(table.ready_addresses()) is listed
 
 
@@ -319,9 +319,9 @@
     ids=['one silent', 'none', 'most silent', 'all silent', 'alone'],
 )
 def test_silent_peer_is_suspect_while_others_are_heard(heard_at, suspects):
-    """A group of ranks waits for a leader that no longer runs.
+    """Guards against a group of ranks waiting for a leader that has died.
 
-    An entry that hears few is more likely to have a fault itself.
+    A gateway that hears few peers is more likely to have a fault itself.
     """
     clock = Clock()
     table = make_peers(clock)
@@ -329,13 +329,15 @@
         clock.now = at
         for name, last in heard_at.items():
             if at <= last:
-                table.take(
-                    site.make_report(name, sent=at, fit=True, leads=(name,))
+                table.apply_report(
+                    site.make_report(
+                        name, sent=at, can_lead=True, leads=(name,)
+                    )
                 )
     clock.now = 1.05
     assert {name for name in heard_at if table.is_suspect(name)} == suspects
-    assert table.led_groups() == set(heard_at) - suspects
-    assert set(table.fit_to_lead()) == set(heard_at) - suspects
+    assert table.list_led_groups() == set(heard_at) - suspects
+    assert set(table.list_leader_candidates()) == set(heard_at) - suspects
 
 
 @pytest.mark.parametrize(
@@ -347,19 +349,19 @@
     ],
     ids=['silent all the while', 'just started', 'nobody is heard'],
 )
-def test_leader_that_was_never_heard_is_lost(heard, since, lost):
-    """A held group stands for four seconds.
+def test_leader_that_was_never_heard_is_unreachable(heard, since, lost):
+    """Guards against a group that stalls for four seconds.
 
-    Sequence: a leader freezes in the middle of a change; the entry that is
-    to succeed it has started just after that, and waits for its lease.
-    Cause: only a peer that had been heard before could count as silent.
+    A leader freezes during a change of the map.  Its successor has started
+    just after that and never heard it.  If only peers that were heard before
+    could be suspect, it would wait for the lease to expire.
     """
     clock = Clock()
     table = make_peers(clock)
     clock.now += since
     for name in heard:
-        table.take(site.make_report(name, sent=since))
-    assert table.is_lost('frozen') is lost
+        table.apply_report(site.make_report(name, sent=since))
+    assert table.is_unreachable('frozen') is lost
     assert not table.is_suspect('frozen')
 
 
@@ -373,30 +375,28 @@
         (320, False, 6.0, 10.0),
     ],
 )
-def test_peer_is_given_up_after_reports_that_were_due(
-    peer_count, leads, silent, suspect
-):
-    """Entries of a large deployment take each other for gone by turns.
+def test_peer_expires_after_missed_reports(peer_count, leads, silent, suspect):
+    """Guards against false suspicions in a large deployment.
 
-    Sequence: there are so many entries that each reports to the others less
-    often; the times after which a peer counts as silent stay.
-    Cause: times in seconds where reports are counted.
+    With many gateways each reports to the others less often.  If a peer
+    counted as silent after a fixed time instead of a number of missed reports,
+    gateways would take each other for dead again and again.
     """
     clock = Clock()
     table = make_peers(clock)
     names = [f'p{number}' for number in range(peer_count)]
     groups = ('g',) if leads else ()
-    period = report_intervals.compute_intervals(
+    interval = report_intervals.compute_intervals(
         near=peer_count, remote=0, leads=leads
     ).near
 
     def take_all():
         for name in names:
-            table.take(
+            table.apply_report(
                 site.make_report(
                     name,
                     leads=groups if name == 'p0' else (),
-                    period=period if name == 'p0' else 0.1,
+                    period=interval if name == 'p0' else 0.1,
                 )
             )
 
@@ -404,7 +404,7 @@
 
     def refresh():
         for name in names[1:]:
-            table.take(site.make_report(name, sent=clock.now + 2.0))
+            table.apply_report(site.make_report(name, sent=clock.now + 2.0))
 
     begun = clock.now
     clock.now = begun + suspect - 0.05
@@ -418,24 +418,24 @@
     begun = clock.now
     clock.now = begun + silent - 0.05
     refresh()
-    table.drop_silent()
+    table.expire_silent()
     assert len(table.live()) == peer_count
     clock.now = begun + silent + 0.05
     refresh()
-    table.drop_silent()
+    table.expire_silent()
     assert len(table.live()) == peer_count - 1
 
 
-def test_peers_are_learned_from_peers_and_given_up_at_last():
+def test_peers_are_learned_from_peers_and_removed_at_last():
     clock = Clock()
     table = make_peers(clock)
     known = peer_reports.KnownPeer(instance='far', host='f', port=3)
     me = peer_reports.KnownPeer(instance='me', host='m', port=3)
-    table.take(site.make_report(known=(known, me)))
+    table.apply_report(site.make_report(known_peers=(known, me)))
     assert {peer.instance for peer in table} == {'p', 'far'}
-    clock.now += peers.GONE_AFTER + 1.0
-    table.drop_silent()
-    assert table.may_live() == 0
+    clock.now += peers.MAX_ABSENCE_SECONDS + 1.0
+    table.expire_silent()
+    assert table.count_known() == 0
 
 
 @hypothesis.given(
@@ -448,33 +448,32 @@
 def test_reports_fit_a_datagram_and_come_back(in_flight):
     report = site.make_report(in_flight=in_flight)
     data = peer_reports.encode(report)
-    assert len(data) <= peer_reports.MOST_BYTES
+    assert len(data) <= peer_reports.MAX_DATAGRAM_BYTES
     found = peer_reports.decode(data)
     assert found.in_flight.items() <= in_flight.items()
 
 
 async def test_confirmation_counts_from_when_the_question_was_sent():
-    """A revoked key is believed by an entry that was frozen.
+    """Guards against accepting a revoked key after a freeze.
 
-    Sequence: a peer answers; the entry freezes for seconds; it reads the
-    answer when it wakes and takes it for news.
-    Cause: the age of a confirmation counted from when it was read.
+    A peer's report arrives, and the gateway freezes for seconds before it
+    reads it.  The age of the confirmation must not count from the reading.
     """
-    held = configurations.ActiveConfiguration(source=Source())
-    held.take(b'1', newest_at=0.0)
+    active = configurations.ActiveConfiguration(source=Source())
+    active.apply(b'1', newest_at=0.0)
     asked = 50.0
     report = site.make_report(echo=asked, echo_incarnation=7, version_age=0.25)
-    held.confirm(
+    active.confirm(
         version=report.version, newest_at=report.echo - report.version_age
     )
-    assert held.confirmed_at == 49.75
+    assert active.confirmed_at == 49.75
 
 
 # Endpoints
 
 
-class Fake:
-    """Stands for an endpoint of which only the record matters."""
+class FakeRecord:
+    """A fake endpoint that has only what its record needs."""
 
     def __init__(self, identity):
         self.identity = identity
@@ -506,16 +505,16 @@
 
 
 def test_leaving_endpoint_never_comes_back():
-    """An endpoint that leaves gets requests again.
+    """Guards against new requests to a leaving endpoint.
 
-    Sequence: it says that it leaves; a list that lags shows it as ready.
-    Cause: the later list was taken for the newer one.
+    The endpoint reports that it is leaving.  A list that arrives later but is
+    out of date shows it as ready.
     """
     follower, table, _ = make_follower(Clock())
-    record = site.make_record(Fake('i-1'))
+    record = site.make_record(FakeRecord('i-1'))
     follower.take_listing(listing(record))
     follower.take_listing(
-        listing(site.make_record(Fake('i-1'), leaving=True), revision=2)
+        listing(site.make_record(FakeRecord('i-1'), leaving=True), revision=2)
     )
     follower.take_peer_listing(listing(record, revision=3))
     follower.take_listing(listing(record, revision=4))
@@ -524,16 +523,15 @@
 
 
 @pytest.mark.parametrize('heard_by', ['list', 'watch', 'peer'])
-def test_nothing_is_believed_of_a_start_that_is_over(heard_by):
-    """An endpoint that has started again gets no requests, or fails them.
+def test_state_of_an_earlier_start_is_discarded(heard_by):
+    """Guards against a restarted endpoint that gets no requests or fails them.
 
-    Sequence: an endpoint fails and leaves; it starts again under the name
-    that it had; what was believed of it and its connections are still used.
-    Cause: a name was taken for that of one start.
+    An endpoint fails, leaves, and starts again under the same name.  The state
+    and the connections of its earlier start must not be used for it.
     """
     follower, table, gone = make_follower(Clock())
-    old = site.make_record(Fake('i-1'), leaving=True, born=1000)
-    new = site.make_record(Fake('i-1'), born=2000)
+    old = site.make_record(FakeRecord('i-1'), leaving=True, born=1000)
+    new = site.make_record(FakeRecord('i-1'), born=2000)
     follower.take_listing(listing(old))
     table.find('i-1').note_failure(now=0.0)
     match heard_by:
@@ -548,15 +546,15 @@
     assert gone == ['i-1']
     assert table.find('i-1').is_open(now=0.0)
     assert table.find('i-1').failures == 0
-    # A list that lags does not bring the old start back.
+    # An outdated list does not restore the record of the earlier start.
     follower.take_listing(listing(old, revision=3))
     assert table.find('i-1').is_open(now=0.0)
     assert gone == ['i-1']
 
 
-def test_vanished_endpoint_is_gone_at_once_when_the_store_is_well():
+def test_removed_endpoint_is_dropped_at_once_while_the_store_works():
     follower, table, gone = make_follower(Clock())
-    follower.take_listing(listing(site.make_record(Fake('i-1'))))
+    follower.take_listing(listing(site.make_record(FakeRecord('i-1'))))
     follower.take_changes(
         listings.Changes(records=(), removed=('i-1',), revision=2)
     )
@@ -565,15 +563,16 @@
 
 
 @pytest.mark.parametrize('comes_back', [False, True])
-async def test_endpoint_that_lapses_is_kept_for_a_moment(comes_back):
-    """All endpoints are forgotten when the store comes back.
+async def test_endpoint_whose_registration_lapses_is_kept_for_a_moment(
+    comes_back,
+):
+    """Guards against losing all endpoints when the store comes back.
 
-    Sequence: the store is away; entries lapse meanwhile; at its return the
-    list is empty until the endpoints have registered again.
-    Cause: a list taken at its word right after a disturbance.
+    While the store is down, the registrations of endpoints lapse.  When it is
+    back, its list is empty until the endpoints have registered again.
     """
     source = site.FakeEndpoints()
-    record = site.make_record(Fake('i-1'))
+    record = site.make_record(FakeRecord('i-1'))
     source.records = [record]
     follower, table, gone = make_follower(source=source)
     async with anyio.create_task_group() as tasks:
@@ -596,15 +595,14 @@
     assert bool(gone) is not comes_back
 
 
-async def test_watch_that_has_gone_silent_is_given_up():
-    """One entry goes on using an endpoint that leaves.
+async def test_watch_that_has_gone_silent_is_restarted():
+    """Guards against requests to a leaving endpoint.
 
-    Sequence: the connection of its watch goes silent; peers learn of the
-    change.
-    Cause: a watch that says nothing taken as one with nothing to say.
+    The connection of a gateway's watch goes silent, while its peers learn of
+    the change.  A silent watch must not count as one without changes.
     """
     source = site.FakeEndpoints()
-    record = site.make_record(Fake('i-1'))
+    record = site.make_record(FakeRecord('i-1'))
     source.records = [record]
     follower, table, _ = make_follower(source=source)
     async with anyio.create_task_group() as tasks:
@@ -612,7 +610,7 @@
         await anyio.sleep(0.5)
         source.changes = [
             listings.Changes(
-                records=(site.make_record(Fake('i-1'), leaving=True),),
+                records=(site.make_record(FakeRecord('i-1'), leaving=True),),
                 removed=(),
                 revision=9,
                 newest=9,
@@ -625,15 +623,15 @@
     assert table.find('i-1').record.leaving
 
 
-async def test_entries_that_know_the_same_do_not_disturb_each_other():
-    """Entries give up their watches several times a second, for nothing.
+async def test_gateways_with_the_same_endpoints_restart_no_watch():
+    """Guards against restarting a working watch several times a second.
 
-    Sequence: one entry's watch answers just after other objects have
-    changed, so it has seen everything up to a higher revision.
-    Cause: that revision taken for the one of a change of an endpoint.
+    One gateway's watch answers just after other objects have changed, so it
+    has seen everything up to a higher revision.  That revision must not count
+    as a change of an endpoint that the other gateway has missed.
     """
     source = site.FakeEndpoints()
-    record = site.make_record(Fake('i-1'))
+    record = site.make_record(FakeRecord('i-1'))
     source.records = [record]
     follower, _, _ = make_follower(source=source)
     other, _, _ = make_follower(source=site.FakeEndpoints())
@@ -664,14 +662,14 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_history_that_is_gone_is_listed_anew():
+async def test_endpoints_are_listed_again_when_the_watch_history_is_gone():
     source = site.FakeEndpoints()
-    source.records = [site.make_record(Fake('i-1'))]
+    source.records = [site.make_record(FakeRecord('i-1'))]
     follower, table, _ = make_follower(source=source)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.run)
         await anyio.sleep(0.5)
-        source.records = [site.make_record(Fake('i-2'))]
+        source.records = [site.make_record(FakeRecord('i-2'))]
         source.show(listings.HistoryGone())
         await anyio.sleep(0.5)
         tasks.cancel_scope.cancel()
@@ -682,8 +680,8 @@
 @pytest.mark.parametrize(
     ('failures', 'pause'), [(1, 0.25), (2, 0.5), (3, 1.0), (9, 4.0)]
 )
-def test_failing_endpoint_rests_longer_each_time(failures, pause):
-    endpoint = endpoints.Endpoint(record=site.make_record(Fake('i-1')))
+def test_backoff_of_a_failing_endpoint_grows(failures, pause):
+    endpoint = endpoints.Endpoint(record=site.make_record(FakeRecord('i-1')))
     for _ in range(failures):
         endpoint.note_failure(now=10.0)
     assert not endpoint.is_open(now=10.0 + pause - 0.01)
@@ -692,13 +690,13 @@
     assert endpoint.failures == 0
 
 
-# Places
+# Queueing and dispatch
 
 
 def make_dispatcher(slots=1, count=1):
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
     for number in range(count):
-        table.put(site.make_record(Fake(f'i-{number}'), slots=slots))
+        table.put(site.make_record(FakeRecord(f'i-{number}'), slots=slots))
     made = dispatch.Dispatcher(
         table=table,
         clock=virtual_time.now,
@@ -728,9 +726,10 @@
 )
 @pytest.mark.parametrize('told', [False, True])
 async def test_slow_rank_gets_no_requests(paces, used, told):
-    """A request on a slow rank makes the passes of all others longer.
+    """A request on a slow rank delays the forward passes of all others.
 
-    Where most ranks are slow the others could not carry all requests.
+    If most ranks are slow, they are used too, as the others could not serve
+    all requests.
     """
     made, table = make_dispatcher(count=3)
     for identity, pace in paces.items():
@@ -745,7 +744,7 @@
     assert refused.retry_after > 0.0
 
 
-async def test_pace_is_believed_for_a_while_only():
+async def test_reported_pace_expires():
     _, table = make_dispatcher()
     known = table.find('i-0').quality
     known.note_pace(pace=4.0, now=virtual_time.now())
@@ -754,7 +753,7 @@
     assert not known.is_slow_rank(now=virtual_time.now())
 
 
-async def test_urgent_requests_get_places_first():
+async def test_urgent_requests_get_slots_first():
     made, _ = make_dispatcher()
     order = []
 
@@ -773,12 +772,11 @@
 
 
 @pytest.mark.parametrize('granted', [False, True])
-async def test_request_that_is_cancelled_holds_no_place(granted):
-    """An endpoint runs fewer requests at once than it could, for ever.
+async def test_request_that_is_cancelled_holds_no_slot(granted):
+    """Guards against slots of an endpoint that stay occupied forever.
 
-    Sequence: a caller leaves while its request waits, or just as it has
-    been given a place.
-    Cause: the place stays counted.
+    A caller disconnects while its request waits, or just after the request got
+    a slot.
     """
     made, table = make_dispatcher()
     held = await made.enter(demand())
@@ -802,7 +800,7 @@
     assert made.waiting('notes') == 0
 
 
-async def test_request_without_a_place_is_refused_in_time():
+async def test_request_without_a_slot_is_refused_in_time():
     made, _ = make_dispatcher()
     await made.enter(demand())
     refused = await made.enter(demand(seconds=0.5))
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -1,9 +1,10 @@
-"""Tests of some hundred entries before some hundred endpoints.
+"""Tests of deployments with about a hundred gateways and endpoints.
 
-The load is that of 99 entries in five data centres before 192 endpoints of
-three slots, of which each entry has some five requests in flight.  What grows
-with the square of the entries is bounded here: reports between them, calls of
-the store, and choices of one endpoint by several entries at once.
+The numbers are those of 99 gateways in five data centres and 192 endpoints
+with three slots each, where each gateway has about five requests in flight.
+The tests bound what would grow with the square of the gateways: reports
+between them, calls to the store, and selections of one endpoint by several
+gateways at once.
 """
 
 import contextlib
@@ -28,7 +29,7 @@
 from . import site
 
 pytestmark = pytest.mark.anyio
-CENTRES = ('one', 'two', 'three', 'four', 'five')
+DATA_CENTRES = ('one', 'two', 'three', 'four', 'five')
 NEAR = 20
 
 
@@ -38,12 +39,12 @@
 
 
 def make_report(instance, **more):
-    """Return what an entry of our data centre reports."""
+    """Return the report of a gateway in data centre ``one``."""
     values = dict(
         host=instance,
         echo=1.0,
         call_host=instance,
-        fit=True,
+        can_lead=True,
         data_centre='one',
         period=0.1,
     )
@@ -58,7 +59,7 @@
         random=random.Random(1),
     )
     for report in reports:
-        table.take(report)
+        table.apply_report(report)
     return table
 
 
@@ -71,7 +72,7 @@
     )
 
 
-def make_entries(count, **more):
+def make_reports(count, **more):
     return [make_report(f'p{number:02}', **more) for number in range(count)]
 
 
@@ -91,11 +92,11 @@
 async def test_reports_between_data_centres_are_fewer(
     near, remote, leads, expected
 ):
-    """Most bytes between data centres are reports of entries.
+    """Guards against too many reports between data centres.
 
-    Sequence: 99 entries in five data centres report to each other each 0.6 s,
-    12,900 times a second across data centres.
-    Cause: all peers counted the same, wherever they are.
+    If 99 gateways in five data centres report to all peers at the same
+    interval, 0.6 s, they send 12,900 reports per second across data centres,
+    which is most of the traffic there.
     """
     found = report_intervals.compute_intervals(
         near=near, remote=remote, leads=leads
@@ -103,8 +104,8 @@
     assert (found.near, found.remote) == pytest.approx(expected, abs=0.001)
 
 
-class Wire:
-    """Takes the datagrams of one entry."""
+class RecordingSocket:
+    """Records the datagrams that one gateway sends."""
 
     def __init__(self):
         self.sent = []
@@ -115,28 +116,28 @@
 
 
 class Sender:
-    """One entry among 98 peers, which it leads or not."""
+    """One gateway with 98 peers, which leads a group or not."""
 
     def __init__(self, near=19, remote=79):
-        # Nobody sends to it here, so its peers have promised to be silent.
-        reports = make_entries(near, period=60.0)
+        # The peers send nothing here, so they announce a long interval.
+        reports = make_reports(near, period=60.0)
         reports += [
             make_report(f'q{number:02}', data_centre='two', period=60.0)
             for number in range(remote)
         ]
         self.leads = False
         self.table = make_table(*reports)
-        self.wire = Wire()
+        self.socket = RecordingSocket()
         self.gossip = gossip.Gossip(
             table=self.table,
             seeds=lambda: (),
-            make=lambda peer, period: make_report('m', period=period),
-            take=lambda report, touched: None,
+            build_report=lambda peer, period: make_report('m', period=period),
+            on_report=lambda report, touched: None,
             leads=lambda: self.leads,
             clock=virtual_time.now,
             random=random.Random(2),
         )
-        self.gossip._socket = self.wire
+        self.gossip._socket = self.socket
 
     @contextlib.asynccontextmanager
     async def run(self):
@@ -146,37 +147,37 @@
             tasks.cancel_scope.cancel()
 
     def times(self, host):
-        return [at for at, to, _ in self.wire.sent if to == host]
+        return [at for at, to, _ in self.socket.sent if to == host]
 
     def gaps(self, host):
         times = self.times(host)
         return [after - before for before, after in zip(times, times[1:])]
 
 
-async def test_each_report_comes_by_the_time_that_the_one_before_promised():
-    """A peer that waits longer than it was told takes us for gone."""
+async def test_reports_keep_the_announced_interval():
+    """A peer takes a gateway for dead that exceeds its announced interval."""
     sender = Sender()
     async with sender.run():
         await anyio.sleep(12.0)
-    promised = {host: period for _, host, period in sender.wire.sent}
+    promised = {host: period for _, host, period in sender.socket.sent}
     assert promised['p00'] < 0.2 < 1.9 < promised['q00']
     for host, period in promised.items():
         assert max(sender.gaps(host)) <= period + 0.01
-    remote = [at for at, host, _ in sender.wire.sent if host[0] == 'q']
+    remote = [at for at, host, _ in sender.socket.sent if host[0] == 'q']
     settled = [at for at in remote if at > remote[0] + 4.0]
     assert len(settled) <= 45 * (remote[-1] - remote[0] - 4.0)
-    # They are spread: no burst to all data centres each two seconds.
+    # The reports are spread out: no burst to all peers every two seconds.
     bursts = [sum(abs(at - one) < 0.01 for at in settled) for one in settled]
     assert max(bursts) < 30
 
 
 @pytest.mark.parametrize('leads', [True, False])
 async def test_all_peers_hear_at_once_who_leads(leads):
-    """Two entries take each other's lease by turns.
+    """Guards against two gateways that keep taking over a lease.
 
-    Sequence: an entry takes the lease of a group; entries elsewhere hear of it
-    after two seconds, and meanwhile its last report says that it does not.
-    Cause: reports that go out seldom, without regard to what they say.
+    A gateway takes the lease of a group.  If remote peers learn of it only
+    with their next regular report, two seconds later, the last report still
+    says that it does not lead, and one of them takes the lease over.
     """
     sender = Sender()
     sender.leads = not leads
@@ -185,22 +186,22 @@
         sender.leads = leads
         changed_at = virtual_time.now()
         await anyio.sleep(0.2)
-    told = {host for at, host, _ in sender.wire.sent if at >= changed_at}
+    told = {host for at, host, _ in sender.socket.sent if at >= changed_at}
     assert len(told) == 98
 
 
-async def test_entry_that_has_just_started_is_answered_at_once():
+async def test_gateway_that_has_just_started_is_answered_at_once():
     sender = Sender()
     async with sender.run():
         await anyio.sleep(5.0)
         report = make_report('q05', data_centre='two', echo=0.0, sent=9.0)
-        sender.gossip._hear(peer_reports.encode(report), 'q05')
+        sender.gossip._handle_datagram(peer_reports.encode(report), 'q05')
         heard_at = virtual_time.now()
         await anyio.sleep(0.2)
     assert any(at >= heard_at for at in sender.times('q05'))
 
 
-# Who is given to callers, leads groups, and asks the store
+# Selection of gateways for callers, leadership, and reads of the store
 
 
 @pytest.mark.parametrize(
@@ -208,11 +209,11 @@
     [(20, 79, 20), (8, 79, 8), (7, 5, 12), (2, 5, 7)],
     ids=['many', 'just enough', 'few', 'small deployment'],
 )
-async def test_callers_are_sent_to_entries_of_their_data_centre(
+async def test_callers_are_sent_to_gateways_of_their_data_centre(
     near, remote, expected
 ):
     table = make_table(
-        *make_entries(near),
+        *make_reports(near),
         *[
             make_report(f'q{number:02}', data_centre='two')
             for number in range(remote)
@@ -220,7 +221,7 @@
     )
     found = table.ready_addresses()
     assert len(found) == expected
-    if near >= peers.ENOUGH_NEAR:
+    if near >= peers.MIN_NEAR_ADDRESSES:
         assert all(one.host.startswith('p') for one in found)
 
 
@@ -228,20 +229,19 @@
     ('count', 'listed'), [(20, False), (11, False), (10, True), (5, True)]
 )
 async def test_leader_takes_no_callers_where_others_can(count, listed):
-    """Each change of a map comes late, which makes all streams late.
+    """Guards against late changes of the expert map, which delay all streams.
 
-    Sequence: the entry that tells 192 ranks of a change serves its part of
-    the callers at the same time.
-    Cause: an entry was given to callers whatever else it does.
+    A leader that serves its share of the callers sends each change to 192
+    ranks too late.
     """
-    table = make_table(*make_entries(count))
-    table.take(make_report('p00', sent=2.0, leads=('g',)))
+    table = make_table(*make_reports(count))
+    table.apply_report(make_report('p00', sent=2.0, leads=('g',)))
     hosts = {one.host for one in table.ready_addresses()}
     assert ('p00' in hosts) is listed
 
 
 @pytest.mark.parametrize(
-    ('strengths', 'own', 'rivals', 'outdone'),
+    ('capacities', 'own', 'rivals', 'outdone'),
     [
         ({'a': 1.0, 'b': 1.0}, 1.0, {'a', 'b'}, False),
         ({'a': 2.1, 'b': 1.0}, 1.0, {'a'}, True),
@@ -251,18 +251,18 @@
         ({}, 1.0, set(), False),
     ],
 )
-async def test_strongest_entries_lead(strengths, own, rivals, outdone):
-    """A change of a map takes two seconds, and leaders take turns.
+async def test_strongest_gateways_lead(capacities, own, rivals, outdone):
+    """Guards against a leader with too little capacity.
 
-    Sequence: an entry with 20 Mbit/s sends 25 KB to each of 192 ranks; its
-    reports to peers wait behind them, so that it is taken for gone.
-    Cause: any entry could lead, however little it can do.
+    A leader with 20 Mbit/s sends 25 KB to each of 192 ranks, which takes two
+    seconds.  Its reports to peers wait behind this, so the peers take it for
+    dead and leadership keeps moving.
     """
     table = make_table(
-        *[make_report(name, strength=one) for name, one in strengths.items()]
+        *[make_report(name, capacity=one) for name, one in capacities.items()]
     )
-    assert set(table.fit_to_lead(strength=own)) == rivals
-    assert table.is_outdone(strength=own) is outdone
+    assert set(table.list_leader_candidates(capacity=own)) == rivals
+    assert table.has_stronger_candidate(capacity=own) is outdone
 
 
 @pytest.mark.parametrize(
@@ -277,50 +277,52 @@
         (3, False, 3, True),
     ],
 )
-async def test_few_entries_of_a_data_centre_ask_the_store(
+async def test_few_gateways_of_a_data_centre_read_the_store(
     strong, fit, weak_before, relies
 ):
-    """Calls of the store are the largest price of a calm day.
+    """Calls to the store are the largest cost of a day without faults.
 
-    Where those that ask it are turned away some others try, but never all:
-    with the store down for all, each try of each entry would be paid for.
+    If the store turns away the gateways that read it, some others try, but
+    never all: with the store down, every attempt of every gateway would cost
+    money.
     """
     table = make_table(
         *[
-            make_report(f'x{number}', strength=2.1, fit=fit)
+            make_report(f'x{number}', capacity=2.1, can_lead=fit)
             for number in range(strong)
         ],
         *[make_report(f'a{number}') for number in range(weak_before)],
         *[make_report(f'z{number}') for number in range(9)],
         *[
-            make_report(f'q{number}', strength=2.1, data_centre='two')
+            make_report(f'q{number}', capacity=2.1, data_centre='two')
             for number in range(9)
         ],
     )
-    assert table.read_store_for_us(strength=1.0) is relies
+    assert table.has_enough_store_readers(capacity=1.0) is relies
 
 
-async def test_peers_that_are_not_heard_ask_nothing_for_us():
+async def test_silent_peers_do_not_count_as_store_readers():
     table = make_table(
-        *[make_report(f'x{number}', strength=2.1) for number in range(3)]
+        *[make_report(f'x{number}', capacity=2.1) for number in range(3)]
     )
-    assert table.read_store_for_us(strength=1.0)
+    assert table.has_enough_store_readers(capacity=1.0)
     await anyio.sleep(0.7)
-    assert not table.read_store_for_us(strength=1.0)
+    assert not table.has_enough_store_readers(capacity=1.0)
 
 
 @pytest.mark.parametrize(
     ('heard_since', 'suspect'), [(0, False), (9, False), (11, True)]
 )
-async def test_entry_that_was_suspended_suspects_nobody(heard_since, suspect):
-    """A leader that is well loses its lease to an entry that was frozen.
+async def test_gateway_that_was_suspended_suspects_nobody(
+    heard_since, suspect
+):
+    """Guards against a healthy leader losing its lease to a frozen gateway.
 
-    Sequence: an entry freezes for four seconds and wakes; it has heard nobody
-    meanwhile, but peers elsewhere report each two seconds only and count as
-    heard for ten.
-    Cause: these were taken for a proof that it can be reached.
+    A gateway freezes for four seconds and has heard nobody meanwhile.  Remote
+    peers report only every two seconds and still count as heard for ten, which
+    does not prove that this gateway can be reached.
     """
-    near = make_entries(19)
+    near = make_reports(19)
     leader = make_report('q00', data_centre='two', leads=('g',))
     remote = [
         make_report(f'q{number:02}', data_centre='two', period=2.0)
@@ -329,14 +331,14 @@
     table = make_table(*near, leader, *remote)
     await anyio.sleep(4.0)
     for number in range(heard_since):
-        table.take(make_report(f'p{number:02}', sent=5.0))
+        table.apply_report(make_report(f'p{number:02}', sent=5.0))
     assert table.is_suspect('q00') is suspect
 
 
 # Endpoints
 
 
-class Fake:
+class FakeRecord:
     """Stands for an endpoint of which only the record matters."""
 
     def __init__(self, identity):
@@ -344,14 +346,14 @@
         self.port = 1
 
 
-class Relying:
-    """A follower whose peers follow the store for it, or not."""
+class RelyingGateway:
+    """A follower that gets endpoints from peers, or from the store."""
 
     def __init__(self):
         self.relies = True
         self.listing = None
         self.source = site.FakeEndpoints()
-        self.record = site.make_record(Fake('i-1'))
+        self.record = site.make_record(FakeRecord('i-1'))
         self.source.records = [self.record]
         self.asked = []
         self.table = endpoints.EndpointTable(
@@ -380,95 +382,95 @@
 
 @pytest.mark.parametrize('settled', [True, False])
 async def test_changes_are_learned_from_peers(settled):
-    """Each change of an endpoint costs a call of the store for each entry.
+    """Learning changes from peers saves a call to the store per gateway.
 
-    One that is missing in a peer's list is gone only if the peer's own list
-    was whole: entries of endpoints lapse while the store is away.
+    An endpoint that is missing from a peer's list is gone only if that list is
+    settled: registrations of endpoints lapse while the store is down.
     """
-    site_of_one = Relying()
-    leaving = site.make_record(Fake('i-2'), leaving=True)
+    relying = RelyingGateway()
+    leaving = site.make_record(FakeRecord('i-2'), leaving=True)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(site_of_one.follower.run)
+        tasks.start_soon(relying.follower.run)
         await anyio.sleep(1.0)
-        watched = site_of_one.follower._watching
-        site_of_one.tell(leaving, settled=settled, newest=9)
+        watched = relying.follower._watching
+        relying.tell(leaving, settled=settled, newest=9)
         await anyio.sleep(0.3)
         tasks.cancel_scope.cancel()
     assert watched is None
-    assert len(site_of_one.asked) == 1
-    assert site_of_one.table.find('i-2').record.leaving
-    assert (site_of_one.table.find('i-1') is None) is settled
+    assert len(relying.asked) == 1
+    assert relying.table.find('i-2').record.leaving
+    assert (relying.table.find('i-1') is None) is settled
 
 
 @pytest.mark.parametrize('settles_after', [0.2, 1.0, 2.0])
-async def test_list_that_was_not_settled_is_asked_for_again(settles_after):
-    """An endpoint that has left gets requests for 3.5 s, until another leaves.
-
-    Sequence: the store turns a third of the entries away for some seconds; an
-    endpoint that never says that it leaves is removed just after; an entry
-    that relies on peers asks one whose own view is not settled yet, adds what
-    is new and keeps what is missing; then nothing changes.
-    Cause: an entry asked again only once it heard of another change.
+async def test_list_that_was_not_settled_is_fetched_again(settles_after):
+    """Guards against requests to an endpoint that has left.
+
+    The store turns away a third of the gateways for some seconds.  Just after,
+    an endpoint is removed without having reported that it leaves.  A gateway
+    that relies on peers fetches a list that is not settled yet, so it keeps
+    the missing endpoint.  If it fetched again only after another change, it
+    would use that endpoint for 3.5 s or longer.
     """
-    site_of_one = Relying()
-    other = site.make_record(Fake('i-2'))
+    relying = RelyingGateway()
+    other = site.make_record(FakeRecord('i-2'))
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(site_of_one.follower.run)
+        tasks.start_soon(relying.follower.run)
         await anyio.sleep(1.0)
-        site_of_one.tell(other, settled=False, newest=9)
+        relying.tell(other, settled=False, newest=9)
         await anyio.sleep(settles_after)
-        kept = site_of_one.table.find('i-1')
-        site_of_one.tell(other, settled=True, newest=9)
+        kept = relying.table.find('i-1')
+        relying.tell(other, settled=True, newest=9)
         await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
-        gone = site_of_one.table.find('i-1')
-        asked = len(site_of_one.asked)
+        gone = relying.table.find('i-1')
+        asked = len(relying.asked)
         await anyio.sleep(3.0)
         tasks.cancel_scope.cancel()
     assert kept is not None
     assert gone is None
-    assert asked == len(site_of_one.asked)
+    assert asked == len(relying.asked)
     assert asked <= 2 + (settles_after + 0.5) / discovery.UNSETTLED_EVERY
 
 
-async def test_list_from_an_unsettled_one_is_not_told_as_settled():
-    """An endpoint that has left gets requests for 3.2 s.
+async def test_list_from_an_unsettled_peer_is_not_announced_as_settled():
+    """Guards against requests to an endpoint that has left, for 3.2 s.
 
-    Sequence: an entry that relies on peers takes a list that is not settled,
-    and keeps what is missing in it; the next one asks this entry, which is in
-    touch with the store, and takes what it keeps for what is there.
-    Cause: a list was told as settled by the state of the store alone.
+    A gateway that relies on peers fetches a list that is not settled, and
+    keeps the endpoints missing from it.  If it then announced its own list as
+    settled because the store answers it, the next gateway that asks it would
+    take the endpoints that it keeps for existing ones.
     """
-    site_of_one = Relying()
-    other = site.make_record(Fake('i-2'))
+    relying = RelyingGateway()
+    other = site.make_record(FakeRecord('i-2'))
     told = []
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(site_of_one.follower.run)
+        tasks.start_soon(relying.follower.run)
         await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        told.append(site_of_one.follower.listing().settled)
-        site_of_one.tell(other, settled=False, newest=9)
+        told.append(relying.follower.listing().settled)
+        relying.tell(other, settled=False, newest=9)
         await anyio.sleep(0.3)
-        told.append(site_of_one.follower.listing().settled)
-        site_of_one.tell(other, settled=True, newest=9)
+        told.append(relying.follower.listing().settled)
+        relying.tell(other, settled=True, newest=9)
         await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
-        told.append(site_of_one.follower.listing().settled)
+        told.append(relying.follower.listing().settled)
         tasks.cancel_scope.cancel()
     assert told == [True, False, True]
 
 
 async def test_peers_with_a_settled_list_are_asked_first(monkeypatch):
-    """An endpoint that has left gets requests for 3.05 s.
+    """Guards against requests to an endpoint that has left, for 3.05 s.
 
-    Sequence: the store has turned away all that follow it in a data centre;
-    their lists are settled two seconds later; an entry there asks one of them
-    after the other, though those elsewhere know at once.
-    Cause: peers of the own data centre were asked first, whatever they knew.
+    The store turns away all gateways of a data centre that read it, so their
+    lists are settled only two seconds later.  A gateway there that asks local
+    peers first, whatever they know, goes from one to the next, though remote
+    peers know at once.
     """
     near = [make_report(f'p{one}', revision=9, settled=0) for one in range(6)]
     far = [
         make_report(f'q{one}', revision=9, settled=settled, data_centre='two')
         for one, settled in enumerate((0, 4, 9))
     ]
-    source = peer_exchange.PeerSource(
+    source = peer_exchange.PeerClient(
         peers=make_table(*near, *far), random=random.Random(3)
     )
     asked = []
@@ -487,27 +489,27 @@
     ('settles', 'told'), [(True, 9), (False, 0)], ids=['settled', 'not']
 )
 async def test_report_tells_up_to_where_a_list_is_settled(settles, told):
-    site_of_one = Relying()
+    relying = RelyingGateway()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(site_of_one.follower.run)
+        tasks.start_soon(relying.follower.run)
         await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        site_of_one.tell(site_of_one.record, settled=settles, newest=9)
+        relying.tell(relying.record, settled=settles, newest=9)
         await anyio.sleep(0.3)
-        seen = site_of_one.follower.told_settled()
+        seen = relying.follower.told_settled()
         tasks.cancel_scope.cancel()
     assert seen == told
 
 
-async def test_list_is_not_settled_while_a_lapsed_entry_is_kept():
-    """A peer takes an endpoint that has lapsed for one that is there.
+async def test_list_is_not_settled_while_a_lapsed_endpoint_is_kept():
+    """Guards against passing on an endpoint whose registration has lapsed.
 
-    Sequence: the store was away; an entry lapses and is kept for a moment;
-    a peer asks just as the moment is over.
-    Cause: what is kept is dropped a tenth of a second later.
+    After the store was down, a registration lapses and is kept for a moment.
+    A peer asks just after that moment, but the kept endpoint is dropped only a
+    tenth of a second later.
     """
-    site_of_one = Relying()
-    site_of_one.relies = False
-    follower = site_of_one.follower
+    relying = RelyingGateway()
+    relying.relies = False
+    follower = relying.follower
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.run)
         await anyio.sleep(presence.KEEP_VANISHED + 1.0)
@@ -531,14 +533,14 @@
 @pytest.mark.parametrize(
     ('position', 'most'), [(0, 21), (1, 11), (4, 5), (19, 5)]
 )
-async def test_store_that_is_down_is_tried_by_few_entries_often(
+async def test_store_that_is_down_is_tried_often_by_few_gateways(
     position, most
 ):
-    """An outage of the store costs more than what it breaks.
+    """Guards against the cost of calls to a store that is down.
 
-    Sequence: the store is down; each of 99 entries tries it twice a second,
-    and each call is paid for.
-    Cause: all tried as often as the first, which would tell the others.
+    Every call costs money.  If each of 99 gateways tried twice a second, the
+    calls would cost more than the outage itself; it is enough that the first
+    tries often, as it would tell the others.
     """
     source = site.FakeEndpoints()
     source.away = True
@@ -564,21 +566,21 @@
     assert most - 2 <= len(tries) <= most
 
 
-async def test_store_is_asked_again_when_peers_do_not():
-    """A leaving endpoint goes on getting requests.
+async def test_store_is_read_again_when_peers_stop():
+    """Guards against requests to a leaving endpoint.
 
-    Sequence: an entry relies on peers; these are killed together.
-    Cause: nobody follows the store for it any more, and it does not itself.
+    A gateway gets changes from peers, and these are killed together.  It must
+    read the store itself then.
     """
-    site_of_one = Relying()
+    relying = RelyingGateway()
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(site_of_one.follower.run)
+        tasks.start_soon(relying.follower.run)
         await anyio.sleep(1.0)
-        site_of_one.relies = False
+        relying.relies = False
         await anyio.sleep(0.5)
-        site_of_one.source.show(
+        relying.source.show(
             listings.Changes(
-                records=(site.make_record(Fake('i-1'), leaving=True),),
+                records=(site.make_record(FakeRecord('i-1'), leaving=True),),
                 removed=(),
                 revision=9,
                 newest=9,
@@ -586,23 +588,23 @@
         )
         await anyio.sleep(0.3)
         tasks.cancel_scope.cancel()
-    assert site_of_one.table.find('i-1').record.leaving
+    assert relying.table.find('i-1').record.leaving
 
 
-async def test_peers_of_our_data_centre_are_asked_first_by_chance():
+async def test_local_peers_are_asked_first_in_random_order():
     table = make_table(
         *[make_report(f'q{one}', data_centre='two') for one in range(9)],
-        *make_entries(9),
+        *make_reports(9),
     )
-    source = peer_exchange.PeerSource(peers=table, random=random.Random(3))
-    orders = [source._order(table.live()) for _ in range(20)]
+    source = peer_exchange.PeerClient(peers=table, random=random.Random(3))
+    orders = [source._order_for_asking(table.live()) for _ in range(20)]
     for order in orders:
         assert all(table.is_near(peer) for peer in order[:9])
     assert len({order[0].instance for order in orders}) > 3
 
 
-class Groups(ranks.RankApi):
-    """Endpoints that say which group they are in, and count who asks."""
+class FakeRankApi(ranks.RankApi):
+    """Endpoints that report their group, and record each query."""
 
     def __init__(self):
         self.asked = []
@@ -633,19 +635,20 @@
 
 
 async def test_each_start_of_an_endpoint_is_asked_once_for_its_group():
-    """Each entry asks thousands of questions while endpoints start.
+    """Guards against thousands of queries while endpoints start.
 
-    Sequence: 192 endpoints start one after the other; all that are known are
-    asked again at each.
-    Cause: whom to ask was decided by whether the set of names had changed.
+    192 endpoints start one after the other.  If any change of the set of names
+    triggered queries, all known endpoints would be asked again at each start.
     """
-    api = Groups()
+    api = FakeRankApi()
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
     groups = group_members.GroupMembers(api=api, table=table)
 
     def put(number, born=1):
         table.put(
-            site.make_record(Fake(f'i-{number}'), born=born, host=str(number))
+            site.make_record(
+                FakeRecord(f'i-{number}'), born=born, host=str(number)
+            )
         )
 
     for number in range(0, 192, 4):
@@ -666,9 +669,9 @@
         data_centre=data_centre, random=random.Random(1)
     )
     for number in range(near + 4 * each):
-        centre = 'one' if number < near else CENTRES[1 + number % 4]
+        centre = 'one' if number < near else DATA_CENTRES[1 + number % 4]
         record = site.make_record(
-            Fake(f'i-{number}'), data_centre=centre, slots=3
+            FakeRecord(f'i-{number}'), data_centre=centre, slots=3
         )
         table.put(record)
     return table
@@ -688,11 +691,11 @@
 async def test_requests_stay_in_their_data_centre_while_it_has_room(
     in_use, is_near
 ):
-    """Four of five requests cross data centres, and all entries compete.
+    """Guards against requests that needlessly cross data centres.
 
-    Sequence: 99 entries choose among 192 endpoints by reports that are 0.6 s
-    old.
-    Cause: the data centre decided between equals only.
+    99 gateways select among 192 endpoints by reports that are 0.6 s old.  If
+    the data centre only broke ties, four of five requests would cross data
+    centres and all gateways would compete for the same endpoints.
     """
     table = make_endpoints()
     for endpoint in table:
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -1,4 +1,4 @@
-"""Tests of what entries tell each other of endpoints."""
+"""Tests of what gateways report to each other about endpoints."""
 
 import msgspec
 import pytest
@@ -34,51 +34,51 @@
         (fail, {}, {}, False, False),
     ],
 )
-async def test_what_one_entry_learns_of_an_endpoint_others_know(
+async def test_peers_learn_what_one_gateway_measures_of_an_endpoint(
     learn, slow, paces, is_slow_rank, is_slower
 ):
-    """Each entry learns for itself that an endpoint is bad.
+    """Guards against each gateway finding a bad endpoint by itself.
 
-    Each pays for it with a request of its own, and where a slow rank makes a
-    whole group slow, one entry that still uses it is enough.
+    Each would need a failed or slow request of its own for it, and one gateway
+    that still uses a slow rank is enough to slow down a whole group.
     """
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
     async with site.run_site(one) as first:
         async with site.run_site(one, instance='entry-2') as second:
-            process = first.gateway
-            now = process._clock()
-            learn(process.table.find('i-1').quality, now)
-            process._reporter.forget()
-            report = process._reporter.make(None)
-            assert report.slow == pytest.approx(slow, rel=0.05)
+            sender = first.gateway
+            now = sender._clock()
+            learn(sender.table.find('i-1').quality, now)
+            sender._reporter.invalidate()
+            report = sender._reporter.build_report(None)
+            assert report.slow_endpoints == pytest.approx(slow, rel=0.05)
             assert report.paces == paces
-            other = second.gateway
+            receiver = second.gateway
             sent = msgspec.structs.replace(report, instance='entry-1')
-            other._reporter.take(sent, frozenset())
-            told = other.table.find('i-1').quality
-            now = other._clock()
+            receiver._reporter.apply_report(sent, frozenset())
+            told = receiver.table.find('i-1').quality
+            now = receiver._clock()
             assert told.is_slow_rank(now=now) is is_slow_rank
             assert (told.slowness(usual=0.02, now=now) > 2.0) is is_slower
-            # What an entry was told it does not pass on as its own.
-            other._reporter.forget()
-            assert other._reporter.make(None).paces == {}
-            assert other._reporter.make(None).slow == {}
+            # A gateway does not pass on what it knows only from reports.
+            receiver._reporter.invalidate()
+            assert receiver._reporter.build_report(None).paces == {}
+            assert receiver._reporter.build_report(None).slow_endpoints == {}
 
 
-async def test_passes_are_told_to_peers():
+async def test_pass_durations_are_reported_to_peers():
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
     async with site.run_site(one) as first:
         async with site.run_site(one, instance='entry-2') as second:
-            process = first.gateway
-            process.dispatcher.pace('notes').passes.note(0.12)
-            process._reporter.forget()
-            report = process._reporter.make(None, 0.1)
+            sender = first.gateway
+            sender.dispatcher.pace('notes').passes.note(0.12)
+            sender._reporter.invalidate()
+            report = sender._reporter.build_report(None, 0.1)
             assert report.passes == {'notes': 0.12}
-            other = second.gateway
-            other._reporter.take(
+            receiver = second.gateway
+            receiver._reporter.apply_report(
                 msgspec.structs.replace(report, instance='entry-1'),
                 frozenset(),
             )
-            assert list(other.dispatcher.paced_services()) == ['notes']
-            other._reporter.forget()
-            assert other._reporter.make(None).passes == {}
+            assert list(receiver.dispatcher.paced_services()) == ['notes']
+            receiver._reporter.invalidate()
+            assert receiver._reporter.build_report(None).passes == {}
--- a/tests/gateway/test_status.py
+++ b/tests/gateway/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry shows operators of itself."""
+"""Tests of the status that a gateway shows to operators."""
 
 import json
 
@@ -29,12 +29,12 @@
 """
 
 
-async def test_state_of_a_running_entry():
+async def test_status_of_a_running_gateway():
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
-    async with site.run_site(one) as running:
-        await site.call(running)
+    async with site.run_site(one) as entry:
+        await site.call(entry)
         address = outbound.Address(
-            host=site.HOST, port=running.gateway.peer_port
+            host=site.HOST, port=entry.gateway.peer_port
         )
         found = await peer_exchange.fetch_status(address=address)
     assert found is not None
@@ -54,10 +54,10 @@
     return await anyio.to_thread.run_sync(ui.run, list(arguments))
 
 
-async def test_command_shows_who_answers_and_who_does_not(capsys):
+async def test_command_shows_gateways_that_answer_or_do_not(capsys):
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
-    async with site.run_site(one) as running:
-        here = f'{site.HOST}:{running.gateway.peer_port}'
+    async with site.run_site(one) as entry:
+        here = f'{site.HOST}:{entry.gateway.peer_port}'
         code = await run_command(
             'gateway', 'status', here, '--endpoints', '--peers'
         )
@@ -70,11 +70,11 @@
         assert 'no answer' in capsys.readouterr().out
 
 
-async def test_command_shows_and_releases_what_is_blocked(capsys):
+async def test_command_shows_and_releases_blocked_requests(capsys):
     one = fake.FakeEndpoint(identity='i-1', scripts=[fake.answer()])
-    async with site.run_site(one) as running:
-        here = f'{site.HOST}:{running.gateway.peer_port}'
-        known = running.gateway.containment.suspects
+    async with site.run_site(one) as entry:
+        here = f'{site.HOST}:{entry.gateway.peer_port}'
+        known = entry.gateway.containment.suspects
         known.take(
             suspects.Suspicion(
                 fingerprint='0123456789abcdef',
@@ -107,7 +107,7 @@
         assert not known.list_blocked()
 
 
-async def test_address_that_is_none_is_refused(capsys):
+async def test_invalid_address_is_refused(capsys):
     assert await run_command('gateway', 'status', 'here') == exits.BAD_INPUT
     assert "'here' is not an address" in capsys.readouterr().err
 
@@ -122,9 +122,7 @@
     ],
     ids=['type', 'address', 'missing', 'syntax'],
 )
-async def test_settings_that_are_not_sound_are_refused(
-    change, place, tmp_path, capsys
-):
+async def test_invalid_settings_are_refused(change, place, tmp_path, capsys):
     path = tmp_path / 'boot.toml'
     path.write_text(SETTINGS.replace(*change))
     code = await run_command('gateway', 'settings', str(path))
