--- a/marigoldramp/gateway/configurations.py
+++ b/marigoldramp/gateway/configurations.py
@@ -70,7 +70,9 @@
         self._callbacks.append(callback)
 
     def apply(self, document: bytes, *, newest_at: float) -> bool:
-        """Put a document into force unless its version is older.
+        """Put a document into force if its version is newer.
+
+        A document that is in force already is confirmed.
 
         :param newest_at: when it was the newest document.
         :returns: whether it is in force now.
@@ -109,7 +111,7 @@
         self.current = found
         self.document = document
         self.routes = routes.RouteTable(routes=found.routes)
-        # Confirmations of the older version hold for a newer one, too.
+        # Confirmations of an older version count for a newer one, too.
         self._note_confirmation(newest_at)
         logging.info(
             'configuration in force',
--- a/marigoldramp/gateway/peers.py
+++ b/marigoldramp/gateway/peers.py
@@ -32,8 +32,8 @@
 #: Callers are given no leaders of groups if at least this many other peers are
 #: ready.
 MIN_NON_LEADER_ADDRESSES = 10
-#: A peer counts as live until it has been silent for at least this time and
-#: has missed at least this many reports.
+#: A peer counts as live until it has been silent for longer than this time and
+#: than this many of its report intervals.
 MIN_SILENCE_SECONDS = 1.2
 MAX_MISSED_REPORTS = 3
 #: Missed reports after which another gateway may take over a peer's groups.  A
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -446,7 +446,7 @@
     def _record_events(self, call: calls.Call, pause: float) -> None:
         """Record the progress of a stream for its service.
 
-        :param pause: seconds since the event before, 0 if there was none.
+        :param pause: seconds since the previous events, 0 for the first.
         """
         gate = self.dispatcher.gate(call.service)
         was_shut = gate.is_shut
--- a/marigoldramp/gateway/settings.py
+++ b/marigoldramp/gateway/settings.py
@@ -81,6 +81,6 @@
         The leader of a large group sends each change of the expert map to all
         ranks while it serves callers.  An instance with two cores and
         100 Mbit/s takes less than half as long for this as one with one core
-        and 20 Mbit/s, and the load of the ranks is balanced so much sooner.
+        and 20 Mbit/s, and the ranks stay balanced for that much longer.
         """
         return min(self.cores, self.link_rate / LINK_BYTES_PER_SECOND_PER_CORE)
