--- a/tests/gateway/test_gateway_state.py
+++ b/tests/gateway/test_gateway_state.py
@@ -724,8 +724,8 @@
         ({'i-0': 1.6, 'i-1': 4.0}, {'i-0', 'i-1', 'i-2'}),
     ],
 )
-@pytest.mark.parametrize('told', [False, True])
-async def test_slow_rank_gets_no_requests(paces, used, told):
+@pytest.mark.parametrize('from_peer', [False, True])
+async def test_slow_rank_gets_no_requests(paces, used, from_peer):
     """A request on a slow rank delays the forward passes of all others.
 
     If most ranks are slow, they are used too, as the others could not serve
@@ -734,7 +734,7 @@
     made, table = make_dispatcher(count=3)
     for identity, pace in paces.items():
         quality = table.find(identity).quality
-        note = quality.note_told_pace if told else quality.note_pace
+        note = quality.note_told_pace if from_peer else quality.note_pace
         note(pace=pace, now=virtual_time.now())
     got = set()
     for _ in range(len(used)):
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -186,8 +186,8 @@
         sender.leads = leads
         changed_at = virtual_time.now()
         await anyio.sleep(0.2)
-    told = {host for at, host, _ in sender.socket.sent if at >= changed_at}
-    assert len(told) == 98
+    notified = {host for at, host, _ in sender.socket.sent if at >= changed_at}
+    assert len(notified) == 98
 
 
 async def test_gateway_that_has_just_started_is_answered_at_once():
@@ -442,19 +442,19 @@
     """
     relying = RelyingGateway()
     other = site.make_record(FakeRecord('i-2'))
-    told = []
+    announced = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
         await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        told.append(relying.follower.listing().settled)
+        announced.append(relying.follower.listing().settled)
         relying.tell(other, settled=False, newest=9)
         await anyio.sleep(0.3)
-        told.append(relying.follower.listing().settled)
+        announced.append(relying.follower.listing().settled)
         relying.tell(other, settled=True, newest=9)
         await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
-        told.append(relying.follower.listing().settled)
+        announced.append(relying.follower.listing().settled)
         tasks.cancel_scope.cancel()
-    assert told == [True, False, True]
+    assert announced == [True, False, True]
 
 
 async def test_peers_with_a_settled_list_are_asked_first(monkeypatch):
@@ -486,9 +486,9 @@
 
 
 @pytest.mark.parametrize(
-    ('settles', 'told'), [(True, 9), (False, 0)], ids=['settled', 'not']
+    ('settles', 'expected'), [(True, 9), (False, 0)], ids=['settled', 'not']
 )
-async def test_report_tells_up_to_where_a_list_is_settled(settles, told):
+async def test_report_tells_up_to_where_a_list_is_settled(settles, expected):
     relying = RelyingGateway()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
@@ -497,7 +497,7 @@
         await anyio.sleep(0.3)
         seen = relying.follower.told_settled()
         tasks.cancel_scope.cancel()
-    assert seen == told
+    assert seen == expected
 
 
 async def test_list_is_not_settled_while_a_lapsed_endpoint_is_kept():
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -55,10 +55,10 @@
             receiver = second.gateway
             sent = msgspec.structs.replace(report, instance='entry-1')
             receiver._reporter.apply_report(sent, frozenset())
-            told = receiver.table.find('i-1').quality
+            quality = receiver.table.find('i-1').quality
             now = receiver._clock()
-            assert told.is_slow_rank(now=now) is is_slow_rank
-            assert (told.slowness(usual=0.02, now=now) > 2.0) is is_slower
+            assert quality.is_slow_rank(now=now) is is_slow_rank
+            assert (quality.slowness(usual=0.02, now=now) > 2.0) is is_slower
             # A gateway does not pass on what it knows only from reports.
             receiver._reporter.invalidate()
             assert receiver._reporter.build_report(None).paces == {}
--- a/tests/gateway/test_status.py
+++ b/tests/gateway/test_status.py
@@ -102,8 +102,8 @@
             (('release', 'x', 'here'), exits.BAD_INPUT, 'not an address'),
         ):
             assert await run_command('gateway', *command) == code
-            told = capsys.readouterr()
-            assert text in told.out + told.err
+            output = capsys.readouterr()
+            assert text in output.out + output.err
         assert not known.list_blocked()
 
 
@@ -127,9 +127,9 @@
     path.write_text(SETTINGS.replace(*change))
     code = await run_command('gateway', 'settings', str(path))
     assert code == exits.BAD_INPUT
-    told = capsys.readouterr().err
-    assert str(path) in told
-    assert place in told
+    output = capsys.readouterr().err
+    assert str(path) in output
+    assert place in output
 
 
 async def test_settings_in_force_are_shown(tmp_path, capsys):
