--- a/marigoldramp/gateway/containment.py
+++ b/marigoldramp/gateway/containment.py
@@ -12,6 +12,7 @@
 
 from .. import metrics as metrics_module
 from . import attempts
+from . import call_cancellations
 from . import calls
 from . import endpoint_ends
 from . import endpoints
@@ -19,7 +20,6 @@
 from . import peers as peers_module
 from . import suspect_exchange
 from . import suspects
-from . import withdrawals
 
 
 class Containment:
@@ -28,12 +28,12 @@
     :param instance: our own name.
     :param pool: opens connections to endpoints.
     :param fetch: returns the suspects that a peer knows.
-    :param hasten: has the next reports to peers sent at once.
+    :param send_reports_now: has the next reports to peers sent at once.
     :ivar suspects: what is known, here and elsewhere.
     :ivar exchange: how others learn of it.
     """
 
-    __slots__ = ('_ends', '_withdrawals', 'suspects', 'exchange')
+    __slots__ = ('_ends', '_cancellations', 'suspects', 'exchange')
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         peers: peers_module.PeerTable,
         pool: outbound.Pool,
         fetch: suspect_exchange.Fetch,
-        hasten: Callable[[], None],
+        send_reports_now: Callable[[], None],
         metrics: metrics_module.Metrics,
         clock: Callable[[], float],
     ) -> None:
-        self._withdrawals = withdrawals.Withdrawals()
+        self._cancellations = call_cancellations.CallCancellations()
         self._ends = endpoint_ends.EndWatch(
             open_connection=lambda address, seconds: pool.open(
                 address=address, seconds=seconds
@@ -56,19 +56,19 @@
             clock=clock,
         )
         self.suspects = suspects.Suspects(
-            is_trier=lambda fingerprint: instance
-            == suspects.find_trier(
+            is_prober=lambda fingerprint: instance
+            == suspects.choose_prober(
                 fingerprint,
                 [instance, *(peer.instance for peer in peers.live())],
             ),
-            on_block=self._withdrawals.withdraw,
+            on_block=self._cancellations.cancel,
             clock=clock,
         )
         self.exchange = suspect_exchange.SuspectExchange(
             known=self.suspects,
             peers=peers,
             fetch=fetch,
-            hasten=hasten,
+            send_reports_now=send_reports_now,
             clock=clock,
         )
         metrics.gauge(
@@ -81,11 +81,11 @@
         self, call: calls.Call
     ) -> contextlib.AbstractContextManager[anyio.CancelScope]:
         """Serve a call in a scope that ends when it is blocked."""
-        return self._withdrawals.hold(call)
+        return self._cancellations.track(call)
 
-    def judge(self, call: calls.Call) -> suspects.Verdict:
+    def decide(self, call: calls.Call) -> suspects.Decision:
         """Return whether a call may be sent to an endpoint."""
-        return self.suspects.judge(call.fingerprint)
+        return self.suspects.decide(call.fingerprint)
 
     def begin(
         self, call: calls.Call, endpoint: endpoints.Endpoint
@@ -122,7 +122,7 @@
         """Let a request run again as an operator says; whether it was kept."""
         released = self.suspects.release(fingerprint)
         if released:
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
         return released
 
     def note_gone(self, identity: str) -> None:
@@ -137,16 +137,16 @@
         """Act on what has been learnt, once word of others has come."""
         self.suspects.refresh()
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Forget what matters no longer."""
-        self._ends.tidy()
-        self.suspects.tidy()
+        self._ends.prune()
+        self.suspects.prune()
 
     def _note_end(self, end: endpoint_ends.End) -> None:
         self.suspects.note_end(end)
         for fingerprint in end.fingerprints:
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
 
     def _note_answer(self, fingerprint: str) -> None:
         if self.suspects.note_answer(fingerprint):
-            self.exchange.note(fingerprint)
+            self.exchange.note_change(fingerprint)
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -18,13 +18,13 @@
 from .. import layer_moves
 from .. import logs
 from .. import map_changes
-from .. import map_conversation
+from .. import map_client
 from .. import map_moves
 from .. import placement
-from . import demand_watch
+from . import demand_monitor
 from . import endpoints
 from . import expert_demand
-from . import passes as pass_times
+from . import pass_times
 from . import ranks
 
 #: Seconds for which one look for a shift lasts; then the leader looks at the
@@ -92,8 +92,8 @@
 #: may go to.  From a first map of 72 ranks, 144 experts and 3 places the
 #: search ends after some 55 moves at a skew of 1.1; 24 leave it at 1.3, and
 #: more than 6 other ranks lead nowhere else.
-MOVES_A_RANK = 1.5
-MOST_OTHERS = 6
+MAX_MOVES_PER_RANK = 1.5
+MAX_TARGET_RANKS = 6
 #: What copies take over what the size and the link say: four copies of 0.111 s
 #: were ready after 0.52 to 0.56 s.
 COPY_MARGIN = 1.25
@@ -146,7 +146,7 @@
         self._slots = slots
         self._seconds_a_copy = seconds_a_copy
         self._clock = clock
-        self._watch = demand_watch.DemandWatch(
+        self._watch = demand_monitor.DemandMonitor(
             api=api,
             demand=expert_demand.ExpertDemand(
                 layers=shape.layers, experts=shape.experts
@@ -161,7 +161,7 @@
         self,
         *,
         expert_map: expert_maps.ExpertMap,
-        conversation: map_conversation.Conversation,
+        client: map_client.GroupClient,
     ) -> map_changes.Plan | None:
         """Return the change to make now, if any; watch for a while."""
         until = self._clock() + SAMPLE_SECONDS
@@ -171,7 +171,7 @@
 
         while True:
             use = self._use()
-            names = self._choose(conversation, use)
+            names = self._choose(client, use)
             if self._are_newly_slow():
                 return await self._search(expert_map)
             pause = self._find_pause(use)
@@ -185,25 +185,23 @@
             match await self._watch.look(
                 names, self._count_watched(), pause, find_skew
             ):
-                case demand_watch.Sign.SHIFTED | demand_watch.Sign.DRIFTED:
+                case demand_monitor.Sign.SHIFTED | demand_monitor.Sign.DRIFTED:
                     return await self._search(expert_map)
-                case demand_watch.Sign.COUNTED:
+                case demand_monitor.Sign.COUNTED:
                     return await self._search(expert_map, LEAST_REFINED_GAIN)
             if self._clock() + LOOK_SECONDS > until:
                 return None
             await anyio.sleep(LOOK_SECONDS)
 
-    def ended(self, *, plan: map_changes.Plan, done: bool) -> None:
+    def record_outcome(self, *, plan: map_changes.Plan, done: bool) -> None:
         """Learn whether a change took place."""
         logging.info('map change ended', extra=logs.fields(done=done))
 
-    def _choose(
-        self, talk: map_conversation.Conversation, use: float
-    ) -> list[str]:
+    def _choose(self, client: map_client.GroupClient, use: float) -> list[str]:
         """Return the ranks to read; the first ones are watched."""
         # A slow rank gets no requests, so it counts nothing.
-        slow = {talk.find_agent(rank) for rank in self._slow_ranks()}
-        names = sorted(talk.members())
+        slow = {client.find_agent(rank) for rank in self._slow_ranks()}
+        names = sorted(client.members())
         known = [name for name in names if name not in slow] or names
         places = _weigh(use, MEASURED_IDLE, MEASURED_FULL)
         return known[: min(MOST_MEASURED, math.ceil(places / self._slots))]
@@ -288,8 +286,8 @@
         ]
         new = await map_moves.MapSearch(
             searches=self._begin_searches(expert_map, popular, slow),
-            gain_a_copy=self._find_gain_a_copy(use),
-            most_moves=math.ceil(MOVES_A_RANK * self._shape.ranks),
+            min_gain_per_copy=self._find_gain_a_copy(use),
+            max_moves=math.ceil(MAX_MOVES_PER_RANK * self._shape.ranks),
         ).improve()
         before = mean_skew(expert_map.layers, popular, slow)
         after = mean_skew(new, popular, slow)
@@ -340,7 +338,7 @@
                     popularity=popularity,
                     slots=self._shape.slots,
                     most_new=self._spare,
-                    most_others=MOST_OTHERS,
+                    most_others=MAX_TARGET_RANKS,
                     copies_left=copies_left,
                     first=layer,
                     closed=slow,
--- a/marigoldramp/gateway/group_members.py
+++ b/marigoldramp/gateway/group_members.py
@@ -57,13 +57,13 @@
             if (endpoint := self._table.find(member)) is not None
         ]
 
-    async def look(self, service: str) -> None:
+    async def refresh(self, service: str) -> None:
         """Ask the endpoints for their groups that have not said so yet.
 
         While endpoints start one after the other, asking all of them at each
         change were half of the questions that a large group gets in a day.
         """
-        known = self._drop_replaced(self._table.of_service(service))
+        known = self._drop_replaced(self._table.list_for_service(service))
         names = {one.identity for one in known}
         members = self._members.setdefault(service, {})
         gone = set(members) - names
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -61,7 +61,7 @@
         self,
         *,
         configuration: configurations.ActiveConfiguration,
-        follower: discovery.Follower,
+        follower: discovery.EndpointFollower,
         describe: Callable[[], status_module.Status],
         list_suspects: Callable[[], suspect_exchange.SuspectList],
         release: Callable[[str], bool],
@@ -80,7 +80,7 @@
         if path == CONFIGURATION_PATH and self._configuration.document:
             body = self._configuration.document
         elif path == ENDPOINTS_PATH and self._follower.listed:
-            listing = self._follower.listing()
+            listing = self._follower.make_listing()
             body = msgspec.json.encode(
                 EndpointList(
                     newest=listing.newest,
@@ -175,8 +175,8 @@
 
 async def fetch(*, address: outbound.Address, path: str) -> bytes | None:
     """Return the response of a peer, or ``None`` if the request failed."""
-    reply = await outbound.exchange(
-        pool=outbound.Pool(most_idle=0),
+    reply = await outbound.send_request(
+        pool=outbound.Pool(max_idle=0),
         address=address,
         identity='',
         method=b'GET',
@@ -210,8 +210,8 @@
 
     :returns: ``None`` if the gateway did not answer.
     """
-    reply = await outbound.exchange(
-        pool=outbound.Pool(most_idle=0),
+    reply = await outbound.send_request(
+        pool=outbound.Pool(max_idle=0),
         address=address,
         identity='',
         method=b'POST',
--- a/marigoldramp/gateway/peers.py
+++ b/marigoldramp/gateway/peers.py
@@ -72,7 +72,7 @@
 
     :param instance: name of this gateway.
     :param data_centre: data centre of this gateway.
-    :param clock: see :func:`.ages.read_clock`.
+    :param clock: see :func:`.boot_clock.read_clock`.
     """
 
     __slots__ = (
@@ -319,7 +319,7 @@
         known = self.list_frequent() or self.live()
         return [one for one in known if one is not peer]
 
-    def reports_not_leading(self, instance: str, group: str) -> bool:
+    def denies_leading(self, instance: str, group: str) -> bool:
         """Whether a peer is heard and reports that it does not lead."""
         peer = self._peers.get(instance)
         if (
@@ -340,7 +340,7 @@
         least = MIN_EQUAL_CAPACITY_RATIO * max(most, capacity)
         return [name for name, one in capacities.items() if one >= least]
 
-    def has_stronger_candidate(self, *, capacity: float) -> bool:
+    def has_stronger_peer(self, *, capacity: float) -> bool:
         """Whether a peer that may lead has much more capacity.
 
         :param capacity: capacity of this gateway.
--- a/marigoldramp/gateway/periodic_tasks.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -37,7 +37,7 @@
     peers: peers.PeerTable
     pool: outbound.Pool
     dispatcher: dispatch.Dispatcher
-    follower: discovery.Follower
+    follower: discovery.EndpointFollower
     refresher: refresh.Refresher
     peer_client: peer_exchange.PeerClient
     containment: containment_module.Containment
@@ -91,16 +91,16 @@
         while True:
             await anyio.sleep(SERVE_INTERVAL_SECONDS)
             self._components.containment.refresh()
-            self._components.dispatcher.serve_all()
+            self._components.dispatcher.assign_all_slots()
 
     async def _clean_up(self) -> None:
         components = self._components
         while True:
             await anyio.sleep(CLEANUP_INTERVAL_SECONDS)
             components.pool.drop_expired()
-            components.containment.tidy()
+            components.containment.prune()
             for endpoint in components.table:
-                endpoint.elsewhere = components.peers.in_flight(
+                endpoint.peer_requests = components.peers.in_flight(
                     endpoint.identity
                 )
 
@@ -114,14 +114,14 @@
             await anyio.sleep(PEER_FETCH_INTERVAL_SECONDS)
             failed_at = self._components.refresher.store.failed_at
             if self._clock() - failed_at < DISTURBANCE_SECONDS:
-                follower.presence.note_disturbance()
+                follower.presence.note_store_outage()
             if follower.store.reached:
                 continue
             found = await self._components.peer_client.fetch_endpoints(
                 newer_than=follower.settled_revision
             )
             if found is not None:
-                follower.take_peer_listing(found)
+                follower.apply_peer_listing(found)
 
     async def _watch_settings(self) -> None:
         """Apply changes of the settings that come without a signal."""
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -12,8 +12,8 @@
 from .. import tcp_streams
 from . import adapter as adapter_module
 from . import admission
-from . import ages
 from . import attempts
+from . import boot_clock
 from . import calls
 from . import configurations
 from . import containment
@@ -24,8 +24,8 @@
 from . import endpoints
 from . import forwarding
 from . import gossip
-from . import group_leading
 from . import inbound
+from . import leader_election
 from . import listeners
 from . import listings
 from . import outbound
@@ -41,7 +41,7 @@
 from . import settings as settings_module
 from . import status
 from . import stopping
-from . import suspect_keeper
+from . import suspect_storage
 
 #: File descriptors that are reserved for everything but callers.
 RESERVED_DESCRIPTORS = 600
@@ -65,7 +65,7 @@
         metrics: metrics_module.Metrics,
     ) -> None:
         random = random_module.Random(secrets.randbits(64))
-        clock = ages.read_clock
+        clock = boot_clock.read_clock
         self.leaving = False
         self.call_port = 0
         self.peer_port = 0
@@ -92,14 +92,14 @@
         self._peer_client = peer_exchange.PeerClient(
             peers=self.peers, random=random
         )
-        self.pool = outbound.Pool(most_idle=MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
+        self.pool = outbound.Pool(max_idle=MAX_IDLE_CONNECTIONS_PER_ENDPOINT)
         self.dispatcher = dispatch.Dispatcher(
             table=self.table,
             clock=clock,
             slots=self._find_slots,
             random=random,
             engine=self._find_engine,
-            accepted=lambda service: (
+            accepted_pause=lambda service: (
                 self.active_configuration.routes.accepted_pause(service)
             ),
         )
@@ -115,11 +115,11 @@
             peers=self.peers,
             pool=self.pool,
             fetch=peer_exchange.fetch_suspects,
-            hasten=self._notify_peers,
+            send_reports_now=self._notify_peers,
             metrics=metrics,
             clock=clock,
         )
-        self._keeper = suspect_keeper.SuspectKeeper(
+        self._suspect_storage = suspect_storage.SuspectStorage(
             known=self.containment.suspects,
             store=adapter.store,
             position=self._find_read_position,
@@ -128,7 +128,7 @@
         self.forwarder = forwarding.Forwarder(
             admission=self.admission,
             dispatcher=self.dispatcher,
-            runner=attempts.Attempts(
+            runner=attempts.AttemptRunner(
                 codec=adapter.codec,
                 pool=self.pool,
                 signals=endpoint_signals.EndpointSignals(
@@ -149,7 +149,7 @@
             metrics=metrics,
             on_wrong_endpoint=self.drop_connections,
         )
-        self.follower = discovery.Follower(
+        self.follower = discovery.EndpointFollower(
             source=adapter.endpoints,
             table=self.table,
             clock=clock,
@@ -161,10 +161,10 @@
                 restored_at=adapter.store.restored_at,
             ),
             on_change=self._handle_endpoint_change,
-            relies=lambda: self.peers.has_enough_store_readers(
+            relies_on_peers=lambda: self.peers.has_enough_store_readers(
                 capacity=self.settings.capacity
             ),
-            from_peers=self._fetch_endpoints,
+            fetch_from_peers=self._fetch_endpoints,
             position=self._find_read_position,
         )
         self.refresher = refresh.Refresher(
@@ -184,7 +184,7 @@
             ),
             build_report=self._build_report,
             on_report=self._apply_report,
-            leads=lambda: bool(self.leading.led()),
+            leads=lambda: bool(self.elector.led_groups()),
             clock=clock,
             random=random,
         )
@@ -197,28 +197,30 @@
             random=random,
         )
         adapter.store.on_restore(self._handle_restore)
-        self.leading = group_leading.GroupLeading(
+        self.elector = leader_election.LeaderElector(
             instance=settings.instance,
             table=self.table,
             services=self._list_services,
             fenced=lambda: self.settings.bounds.fenced,
-            rivals=lambda: self.peers.list_leader_candidates(
+            eligible_peers=lambda: self.peers.list_leader_candidates(
                 capacity=self.settings.capacity
             ),
-            is_outdone=lambda: self.peers.has_stronger_candidate(
+            has_stronger_peer=lambda: self.peers.has_stronger_peer(
                 capacity=self.settings.capacity
             ),
-            led_elsewhere=self.peers.list_led_groups,
-            is_idle=self.peers.reports_not_leading,
+            led_by_peers=self.peers.list_led_groups,
+            denies_leading=self.peers.denies_leading,
             is_gone=self.peers.is_unreachable,
-            pauses=lambda service: self.dispatcher.pace(service).share,
-            passes=lambda service: self.dispatcher.pace(service).passes,
-            limit=lambda service, slots: self.dispatcher.pace(service).limit(
-                slots
-            ),
+            pause_share=lambda service: self.dispatcher.limiter(
+                service
+            ).pause_ratio,
+            passes=lambda service: self.dispatcher.limiter(service).pass_times,
+            concurrency_limit=lambda service, slots: self.dispatcher.limiter(
+                service
+            ).limit(slots),
             api=adapter.ranks,
             store=adapter.store,
-            has_store=lambda: self.follower.store.reached,
+            is_store_reachable=lambda: self.follower.store.reached,
             clock=clock,
         )
         components = reporting.Components(
@@ -228,7 +230,7 @@
             table=self.table,
             peers=self.peers,
             dispatcher=self.dispatcher,
-            leading=self.leading,
+            elector=self.elector,
             containment=self.containment,
             store=adapter.store,
         )
@@ -300,7 +302,7 @@
         """Return addresses for callers, of this gateway and its peers."""
         found = self.peers.ready_addresses()
         if self.is_ready() and self.settings.calls is not None:
-            leads = bool(self.leading.led())
+            leads = bool(self.elector.led_groups())
             if not leads or len(found) < peers.MIN_NON_LEADER_ADDRESSES:
                 found.insert(0, self.settings.calls)
         return found
@@ -355,9 +357,9 @@
         tasks.start_soon(self.refresher.run)
         tasks.start_soon(self.follower.run)
         tasks.start_soon(self._registry.run)
-        tasks.start_soon(self.leading.run)
+        tasks.start_soon(self.elector.run)
         tasks.start_soon(self.containment.exchange.run)
-        tasks.start_soon(self._keeper.run)
+        tasks.start_soon(self._suspect_storage.run)
 
     async def _listen(self, tasks: anyio.abc.TaskGroup) -> None:
         settings = self.settings
@@ -370,7 +372,7 @@
             release=self.containment.release,
         )
         self._call_listener = listeners.Listener(
-            serve=self._serve_calls, most=max_connections
+            serve=self._serve_calls, max_connections=max_connections
         )
         self._listeners.append(self._call_listener)
         handlers: list[tuple[outbound.Address | None, adapter_module.Page]] = [
@@ -382,7 +384,8 @@
         for address, page in handlers:
             if address is not None:
                 listener = listeners.Listener(
-                    serve=self._make_server(page), most=max_connections
+                    serve=self._make_server(page),
+                    max_connections=max_connections,
                 )
                 self._listeners.append(listener)
                 port = await listener.listen(
@@ -397,13 +400,15 @@
                 tasks=tasks,
             )
 
-    def _make_server(self, page: adapter_module.Page) -> listeners.Serve:
+    def _make_server(
+        self, page: adapter_module.Page
+    ) -> listeners.ServeConnection:
         async def serve(stream: tcp_streams.Stream) -> None:
             connection = inbound.Connection(
                 stream=stream,
                 handler=page,
-                limits=lambda: inbound.UNKNOWN_LIMITS,
-                leaving=lambda: False,
+                limits=lambda: inbound.DEFAULT_LIMITS,
+                is_stopping=lambda: False,
             )
             await connection.serve()
 
@@ -414,7 +419,7 @@
             stream=stream,
             handler=self.forwarder.handle,
             limits=self._find_limits,
-            leaving=lambda: self.leaving,
+            is_stopping=lambda: self.leaving,
         )
         self._connections.add(connection)
         try:
@@ -434,7 +439,7 @@
 
     def _find_limits(self) -> deployment.Limits:
         config = self.active_configuration.current
-        return inbound.UNKNOWN_LIMITS if config is None else config.limits
+        return inbound.DEFAULT_LIMITS if config is None else config.limits
 
     def _list_services(self) -> tuple[deployment.Service, ...]:
         """Return the services whose groups may be led."""
@@ -448,14 +453,14 @@
 
         :param pause: seconds since the previous events, 0 for the first.
         """
-        gate = self.dispatcher.gate(call.service)
-        was_shut = gate.is_shut
-        gate.note_progress()
-        if was_shut:
-            self.dispatcher.serve(call.service)
+        breaker = self.dispatcher.circuit_breaker(call.service)
+        was_tripped = breaker.is_tripped
+        breaker.note_success()
+        if was_tripped:
+            self.dispatcher.assign_slots(call.service)
         if pause:
-            self.dispatcher.pace(call.service).note_pause(
-                seconds=pause, accepted=call.route.longest_pause
+            self.dispatcher.limiter(call.service).note_pause(
+                seconds=pause, accepted_pause=call.route.longest_pause
             )
 
     def _find_engine(self, service: str) -> deployment.Engine | None:
@@ -465,7 +470,7 @@
 
     def _find_slots(self, endpoint: endpoints.Endpoint) -> float:
         engine = self._find_engine(endpoint.record.service)
-        return dispatch.usual_slots(endpoint, engine)
+        return dispatch.find_slots(endpoint, engine)
 
     # Peers
 
@@ -481,8 +486,8 @@
 
     def _handle_endpoint_change(self) -> None:
         """Handle a change of the known endpoints."""
-        self.dispatcher.serve_all()
-        if not self.follower.relies():
+        self.dispatcher.assign_all_slots()
+        if not self.follower.relies_on_peers():
             # Peers that do not read the store learn of it from this gateway.
             self._notify_peers()
 
@@ -506,7 +511,7 @@
         """Handle a restore of the store from a backup."""
         self.follower.note_restore()
         self._registry.note_restore()
-        self._keeper.note_restore()
+        self._suspect_storage.note_restore()
 
     def begin_stop(self) -> None:
         """Begin a graceful shutdown, unless one has begun already."""
@@ -522,7 +527,7 @@
         self._notify_peers()
         await stopping.shut_down(
             stopping.Components(
-                resign=self.leading.stop,
+                resign=self.elector.stop,
                 listener=self._call_listener,
                 connections=self._connections,
                 last_request_at=lambda: self.forwarder.asked_at,
--- a/marigoldramp/gateway/refresh.py
+++ b/marigoldramp/gateway/refresh.py
@@ -14,7 +14,7 @@
 
 from .. import store
 from . import configurations
-from . import contacts
+from . import dependency_health
 
 #: Age of the confirmation at which the first gateway reads the store, how much
 #: longer each next one waits, and the age at which every gateway reads.  The
@@ -76,7 +76,7 @@
         self._announced_version = 0
         self._wake = anyio.Event()
         self._not_before = float('-inf')
-        self.store = contacts.Contact(
+        self.store = dependency_health.DependencyHealth(
             name='store', use='configuration', clock=clock
         )
 
@@ -139,7 +139,7 @@
 
     def _pause(self) -> None:
         """Delay the next read, longer for gateways later in the order."""
-        self._not_before = self._clock() + contacts.stretch_pause(
+        self._not_before = self._clock() + dependency_health.scale_retry_delay(
             RETRY_INTERVAL_SECONDS, position=self._position()
         )
 
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -11,7 +11,7 @@
 from . import discovery
 from . import dispatch
 from . import endpoints
-from . import group_leading
+from . import leader_election
 from . import peer_reports
 from . import peers
 from . import quality
@@ -32,11 +32,11 @@
 
     active_configuration: configurations.ActiveConfiguration
     refresher: refresh.Refresher
-    follower: discovery.Follower
+    follower: discovery.EndpointFollower
     table: endpoints.EndpointTable
     peers: peers.PeerTable
     dispatcher: dispatch.Dispatcher
-    leading: group_leading.GroupLeading
+    elector: leader_election.LeaderElector
     containment: containment_module.Containment
     store: store_module.PlatformStore
 
@@ -118,18 +118,22 @@
         :param touched: endpoints whose requests in flight may have changed.
         """
         self._components.store.hear_era(report.era)
-        self._components.containment.exchange.hear(report)
+        self._components.containment.exchange.handle_report(report)
         self._components.refresher.note_peer_version(report.version)
-        self._components.follower.hear(change_revision=report.revision)
+        self._components.follower.note_peer_revision(
+            change_revision=report.revision
+        )
         self._apply_confirmation(report)
         self._apply_slowness(report)
         for service, seconds in report.passes.items():
-            self._components.dispatcher.pace(service).note_told(seconds)
+            self._components.dispatcher.limiter(service).note_reported(seconds)
         for identity in touched:
             endpoint = self._components.table.find(identity)
             if endpoint is not None:
-                endpoint.elsewhere = self._components.peers.in_flight(identity)
-        self._components.dispatcher.serve_all()
+                endpoint.peer_requests = self._components.peers.in_flight(
+                    identity
+                )
+        self._components.dispatcher.assign_all_slots()
 
     def _describe(self, now: float) -> peer_reports.Report:
         """Return a new report without an echo."""
@@ -154,20 +158,20 @@
             ),
             revision=components.follower.change_revision,
             revision_age=_age(now, components.follower.store.reached_at),
-            settled=components.follower.told_settled(),
+            settled=components.follower.reported_settled_revision(),
             in_flight={
-                endpoint.identity: endpoint.own
+                endpoint.identity: endpoint.own_requests
                 for endpoint in components.table
-                if endpoint.own
+                if endpoint.own_requests
             },
             slow_endpoints=self._list_slow(now),
             paces=self._list_paces(now),
-            can_lead=components.leading.fit and self._ready(),
-            leads=components.leading.led(),
+            can_lead=components.elector.eligible and self._ready(),
+            leads=components.elector.led_groups(),
             capacity=settings.capacity,
             data_centre=settings.data_centre,
             passes=self._list_passes(),
-            suspect_news=components.containment.exchange.tell(),
+            suspect_news=components.containment.exchange.make_update(),
             era=components.store.era(),
             known_peers=self._sample_peers(now),
         )
@@ -199,21 +203,21 @@
         for identity, slowness in report.slow_endpoints.items():
             endpoint = self._components.table.find(identity)
             if endpoint is not None:
-                endpoint.quality.note_told(
+                endpoint.quality.note_peer_slowness(
                     slowness=slowness, now=self._clock()
                 )
 
         for identity, pace in report.paces.items():
             endpoint = self._components.table.find(identity)
             if endpoint is not None:
-                endpoint.quality.note_told_pace(pace=pace, now=self._clock())
+                endpoint.quality.note_peer_pace(pace=pace, now=self._clock())
 
     def _list_passes(self) -> dict[str, float]:
         """Return the last pass durations measured from streams here."""
         dispatcher = self._components.dispatcher
         passes = {
-            service: dispatcher.pace(service).passes.own()
-            for service in dispatcher.paced_services()
+            service: dispatcher.limiter(service).pass_times.last_local()
+            for service in dispatcher.limited_services()
         }
         return {
             service: round(seconds, 3)
@@ -224,13 +228,13 @@
     def _list_paces(self, now: float) -> dict[str, float]:
         """Return the ranks that report to this gateway that they are slow."""
         paces = {
-            one.identity: one.quality.own_pace(now=now)
+            one.identity: one.quality.reported_pace(now=now)
             for one in self._components.table
         }
         return {
             identity: round(pace, 2)
             for identity, pace in paces.items()
-            if pace >= quality.SLOW_PACE
+            if pace >= quality.MIN_SLOW_PACE
         }
 
     def _list_slow(self, now: float) -> dict[str, float]:
@@ -240,11 +244,11 @@
         """
         table = self._components.table
         usual = {
-            service: table.usual_seconds(service)
+            service: table.find_median_seconds(service)
             for service in {one.record.service for one in table}
         }
         found = {
-            one.identity: one.quality.own_trouble(
+            one.identity: one.quality.slowness_for_peers(
                 usual=usual[one.record.service], now=now
             )
             for one in table
@@ -252,7 +256,7 @@
         return {
             identity: round(slowness, 2)
             for identity, slowness in found.items()
-            if slowness > quality.SLOW_FROM
+            if slowness > quality.MIN_SLOW_RATIO
         }
 
 
--- a/marigoldramp/gateway/status.py
+++ b/marigoldramp/gateway/status.py
@@ -156,8 +156,8 @@
                 now, components.active_configuration.confirmed_at
             ),
             store_age=_age(now, components.follower.store.reached_at),
-            relies=components.follower.relies(),
-            leads=components.leading.led(),
+            relies=components.follower.relies_on_peers(),
+            leads=components.elector.led_groups(),
             queues=tuple(self._describe_queue(name) for name in services),
             endpoints=tuple(self._describe_endpoint(one) for one in known),
             peers=tuple(
@@ -184,13 +184,13 @@
         dispatcher = self._components.dispatcher
         return QueueStatus(
             service=service,
-            waiting=dispatcher.waiting(service),
-            share=round(dispatcher.pace(service).share, 3),
+            waiting=dispatcher.count_waiting(service),
+            share=round(dispatcher.limiter(service).pause_ratio, 3),
         )
 
     def _describe_endpoint(self, one: endpoints.Endpoint) -> EndpointStatus:
         now = self._clock()
-        usual = self._components.table.usual_seconds(one.record.service)
+        usual = self._components.table.find_median_seconds(one.record.service)
         state = 'open' if one.is_open(now=now) else 'resting'
         return EndpointStatus(
             identity=one.identity,
@@ -198,9 +198,9 @@
             data_centre=one.record.data_centre,
             address=f'{one.record.host}:{one.record.port}',
             state='leaving' if one.record.leaving else state,
-            own=one.own,
-            elsewhere=one.elsewhere,
-            errors=round(one.quality.errors(now=now), 3),
+            own=one.own_requests,
+            elsewhere=one.peer_requests,
+            errors=round(one.quality.error_rate(now=now), 3),
             slowness=round(one.quality.slowness(usual=usual, now=now), 2),
         )
 
--- a/marigoldramp_measure/decisions.py
+++ b/marigoldramp_measure/decisions.py
@@ -8,10 +8,10 @@
 from typing import Callable
 
 from marigoldramp import expert_maps
+from marigoldramp.gateway import concurrency_limits
 from marigoldramp.gateway import deployment
 from marigoldramp.gateway import endpoints
 from marigoldramp.gateway import expert_planner
-from marigoldramp.gateway import pacing
 from marigoldramp.gateway import rank_transport
 from marigoldramp import layer_moves
 from marigoldramp import map_moves
@@ -90,7 +90,7 @@
         )
         endpoint = table.find(f'rank-{number}')
         assert endpoint is not None
-        endpoint.elsewhere = number % 5
+        endpoint.peer_requests = number % 5
     return table
 
 
@@ -114,13 +114,15 @@
     def count() -> float:
         return sum(one.in_flight for one in table) / ranks
 
-    pace = pacing.Pace(clock=lambda: now, running=count)
-    pace.limit(5.0)
+    limiter = concurrency_limits.ConcurrencyLimiter(
+        clock=lambda: now, running=count
+    )
+    limiter.limit(5.0)
 
     def note() -> None:
         nonlocal now
         now += 0.1
-        pace.note_pause(seconds=0.1, accepted=0.12)
+        limiter.note_pause(seconds=0.1, accepted_pause=0.12)
 
     return note
 
@@ -146,7 +148,7 @@
         [draw.paretovariate(TAIL) for _ in range(shape.experts)]
         for _ in range(shape.layers)
     ]
-    layers = rank_transport.first_map(shape=shape).layers
+    layers = rank_transport.initial_map(shape=shape).layers
     layers = await _improve(shape, layers, popular)
     rows = []
     for _ in range(SHIFTS):
@@ -187,11 +189,11 @@
                 popularity=row,
                 slots=shape.slots,
                 most_new=2,
-                most_others=expert_planner.MOST_OTHERS,
+                most_others=expert_planner.MAX_TARGET_RANKS,
                 copies_left=copies_left,
             )
             for layer, row in zip(layers, popular)
         ],
-        gain_a_copy=GAIN,
-        most_moves=int(expert_planner.MOVES_A_RANK * shape.ranks),
+        min_gain_per_copy=GAIN,
+        max_moves=int(expert_planner.MAX_MOVES_PER_RANK * shape.ranks),
     ).improve()
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -29,7 +29,7 @@
     def __init__(self, stands=True):
         self.stands = stands
 
-    async def lasts(self, seconds):
+    async def stays_open(self, seconds):
         return self.stands
 
 
@@ -232,5 +232,5 @@
     one.watch.finish(answered)
     await one.watch.lose(lost)
     await anyio.sleep(endpoint_ends.KEPT_SECONDS + 0.1)
-    one.watch.tidy()
+    one.watch.prune()
     assert one.watch._traces == {}
--- a/tests/gateway/test_endpoint_requests.py
+++ b/tests/gateway/test_endpoint_requests.py
@@ -21,7 +21,7 @@
 IDENTITIES = strategies.sampled_from(['i-1', 'i-2'])
 METRICS = metrics.create_local(instance='entry-1')
 CALL = types.SimpleNamespace(
-    facts=types.SimpleNamespace(attempt='a1'), sends=1
+    facts=types.SimpleNamespace(attempt_id='a1'), sends=1
 )
 
 
@@ -74,18 +74,18 @@
     @stateful.rule(identity=IDENTITIES)
     def lapse(self, identity):
         """Remove an endpoint's entry from the store."""
-        self.presence.vanish(identity)
+        self.presence.note_unlisted(identity)
 
     @stateful.rule()
     def disturb_store(self):
         """Report that the store did not answer a request."""
-        self.presence.note_disturbance()
+        self.presence.note_store_outage()
 
     @stateful.rule(seconds=strategies.floats(0.01, 3.0))
     def wait(self, seconds):
         """Advance the clock and remove endpoints whose entries lapsed."""
         self.now += seconds
-        self.presence.settle()
+        self.presence.remove_lapsed()
 
     @stateful.rule(
         identity=IDENTITIES,
@@ -107,10 +107,10 @@
             call=CALL,
             endpoint=endpoint,
             facts=codecs.AnswerFacts(
-                attempt='a1',
-                sealed=True,
+                attempt_id='a1',
+                signed=True,
                 not_run=False,
-                encoded=False,
+                has_unrequested_encoding=False,
                 leaving=leaving,
                 retry_after=backoff,
             ),
--- a/tests/gateway/test_endpoint_signals.py
+++ b/tests/gateway/test_endpoint_signals.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from marigoldramp.gateway import ages
+from marigoldramp.gateway import boot_clock
 
 from . import fake_endpoint as fake
 from . import site
@@ -34,7 +34,7 @@
 def clock(monkeypatch):
     """Replace the gateway clock with one that the test can advance."""
     gateway_clock = Clock()
-    monkeypatch.setattr(ages, 'read_clock', gateway_clock.read)
+    monkeypatch.setattr(boot_clock, 'read_clock', gateway_clock.read)
     return gateway_clock
 
 
@@ -49,7 +49,7 @@
         while not declining.seen:
             await site.call(running, attempt='a7')
         endpoint = running.gateway.table.find('i-1')
-        left = endpoint.backoff_until - ages.read_clock()
+        left = endpoint.backoff_until - boot_clock.read_clock()
     assert 0.0 < left <= 2.5
     fields = lines('endpoint asked for backoff')[0]
     assert fields == {'request': 'a7', 'endpoint': 'i-1', 'seconds': 2.5}
@@ -111,7 +111,7 @@
 
 def lapse_and_relist(presence, record):
     """Remove the endpoint's entry and write it again."""
-    presence.vanish(record.identity)
+    presence.note_unlisted(record.identity)
     presence.put_written(record)
 
 
@@ -170,9 +170,11 @@
 
 
 @pytest.mark.parametrize(
-    ('header', 'is_shut'), [('Retry-After: 60\r\n', False), ('', True)]
+    ('header', 'is_tripped'), [('Retry-After: 60\r\n', False), ('', True)]
 )
-async def test_only_declines_without_backoff_shut_the_gate(header, is_shut):
+async def test_only_declines_without_backoff_trip_the_breaker(
+    header, is_tripped
+):
     """Guards against holding requests back while endpoints are free."""
     declining = [
         Fake(identity=f'i-{n}', scripts=[fake.decline(more=NOT_RUN + header)])
@@ -180,7 +182,7 @@
     ]
     config = site.make_configuration(site.FORBIDDEN(timeout=0.5))
     async with site.run_site(*declining, configuration=config) as running:
-        gate = running.gateway.dispatcher.gate('notes')
+        breaker = running.gateway.dispatcher.circuit_breaker('notes')
         await site.call(running, 'POST', body=b'x')
         assert sum(bool(one.seen) for one in declining) >= 3
-        assert gate.is_shut == is_shut
+        assert breaker.is_tripped == is_tripped
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -262,7 +262,7 @@
         *[make_report(name, capacity=one) for name, one in capacities.items()]
     )
     assert set(table.list_leader_candidates(capacity=own)) == rivals
-    assert table.has_stronger_candidate(capacity=own) is outdone
+    assert table.has_stronger_peer(capacity=own) is outdone
 
 
 @pytest.mark.parametrize(
@@ -359,14 +359,14 @@
         self.table = endpoints.EndpointTable(
             data_centre='one', random=random.Random(1)
         )
-        self.follower = discovery.Follower(
+        self.follower = discovery.EndpointFollower(
             source=self.source,
             table=self.table,
             clock=virtual_time.now,
             presence=make_presence(self.table),
             on_change=lambda: None,
-            relies=lambda: self.relies,
-            from_peers=self.fetch,
+            relies_on_peers=lambda: self.relies,
+            fetch_from_peers=self.fetch,
         )
 
     async def fetch(self, newer_than):
@@ -377,7 +377,7 @@
         self.listing = listings.Listing(
             records=records, revision=newest, newest=newest, settled=settled
         )
-        self.follower.hear(change_revision=newest)
+        self.follower.note_peer_revision(change_revision=newest)
 
 
 @pytest.mark.parametrize('settled', [True, False])
@@ -421,7 +421,7 @@
         await anyio.sleep(settles_after)
         kept = relying.table.find('i-1')
         relying.tell(other, settled=True, newest=9)
-        await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
+        await anyio.sleep(discovery.UNSETTLED_RETRY_SECONDS + 0.3)
         gone = relying.table.find('i-1')
         asked = len(relying.asked)
         await anyio.sleep(3.0)
@@ -429,7 +429,9 @@
     assert kept is not None
     assert gone is None
     assert asked == len(relying.asked)
-    assert asked <= 2 + (settles_after + 0.5) / discovery.UNSETTLED_EVERY
+    assert (
+        asked <= 2 + (settles_after + 0.5) / discovery.UNSETTLED_RETRY_SECONDS
+    )
 
 
 async def test_list_from_an_unsettled_peer_is_not_announced_as_settled():
@@ -445,14 +447,14 @@
     announced = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
-        await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        announced.append(relying.follower.listing().settled)
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
+        announced.append(relying.follower.make_listing().settled)
         relying.tell(other, settled=False, newest=9)
         await anyio.sleep(0.3)
-        announced.append(relying.follower.listing().settled)
+        announced.append(relying.follower.make_listing().settled)
         relying.tell(other, settled=True, newest=9)
-        await anyio.sleep(discovery.UNSETTLED_EVERY + 0.3)
-        announced.append(relying.follower.listing().settled)
+        await anyio.sleep(discovery.UNSETTLED_RETRY_SECONDS + 0.3)
+        announced.append(relying.follower.make_listing().settled)
         tasks.cancel_scope.cancel()
     assert announced == [True, False, True]
 
@@ -492,10 +494,10 @@
     relying = RelyingGateway()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
-        await anyio.sleep(presence.KEEP_VANISHED + 1.0)
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
         relying.tell(relying.record, settled=settles, newest=9)
         await anyio.sleep(0.3)
-        seen = relying.follower.told_settled()
+        seen = relying.follower.reported_settled_revision()
         tasks.cancel_scope.cancel()
     assert seen == expected
 
@@ -512,9 +514,9 @@
     follower = relying.follower
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.run)
-        await anyio.sleep(presence.KEEP_VANISHED + 1.0)
-        follower.presence.note_disturbance()
-        follower.take_changes(
+        await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
+        follower.presence.note_store_outage()
+        follower.apply_changes(
             listings.Changes(
                 records=(), removed=('i-1',), revision=9, newest=9
             )
@@ -522,7 +524,7 @@
         seen = []
         for _ in range(60):
             await anyio.sleep(0.05)
-            listing = follower.listing()
+            listing = follower.make_listing()
             seen.append((listing.settled, bool(listing.records)))
         tasks.cancel_scope.cancel()
     assert (True, True) not in seen
@@ -553,7 +555,7 @@
 
     source.list_all = list_all
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
-    follower = discovery.Follower(
+    follower = discovery.EndpointFollower(
         source=source,
         table=table,
         clock=virtual_time.now,
@@ -616,7 +618,7 @@
             epoch=1,
             rank=int(identity[2:]),
             size=192,
-            whole=True,
+            group_open=True,
             step=0,
             version=0,
             prepared=None,
@@ -654,12 +656,12 @@
     for number in range(0, 192, 4):
         for each in range(4):
             put(number + each)
-        await groups.look('notes')
+        await groups.refresh('notes')
     assert len(api.asked) == len(set(api.asked)) == 192
     assert len(groups.list_known('g')) == 192
     put(7, born=2)
     table.remove('i-8')
-    await groups.look('notes')
+    await groups.refresh('notes')
     assert api.asked[192:] == ['i-7']
     assert len(groups.list_known('g')) == 191
 
@@ -700,7 +702,7 @@
     table = make_endpoints()
     for endpoint in table:
         if endpoint.record.data_centre == 'one':
-            endpoint.elsewhere = in_use
+            endpoint.peer_requests = in_use
     near = [choose(table).record.data_centre == 'one' for _ in range(40)]
     assert sum(near) >= 36 if is_near else sum(near) <= 4
 
@@ -709,5 +711,5 @@
     table = make_endpoints(near=2, each=2)
     for endpoint in table:
         if endpoint.record.data_centre == 'one':
-            endpoint.elsewhere = 1
+            endpoint.peer_requests = 1
     assert choose(table).record.data_centre != 'one'
--- a/tests/gateway/test_reporting.py
+++ b/tests/gateway/test_reporting.py
@@ -70,7 +70,7 @@
     async with site.run_site(one) as first:
         async with site.run_site(one, instance='entry-2') as second:
             sender = first.gateway
-            sender.dispatcher.pace('notes').passes.note(0.12)
+            sender.dispatcher.limiter('notes').pass_times.note_local(0.12)
             sender._reporter.invalidate()
             report = sender._reporter.build_report(None, 0.1)
             assert report.passes == {'notes': 0.12}
@@ -79,6 +79,6 @@
                 msgspec.structs.replace(report, instance='entry-1'),
                 frozenset(),
             )
-            assert list(receiver.dispatcher.paced_services()) == ['notes']
+            assert list(receiver.dispatcher.limited_services()) == ['notes']
             receiver._reporter.invalidate()
             assert receiver._reporter.build_report(None).passes == {}
--- a/tests/gateway/test_status.py
+++ b/tests/gateway/test_status.py
@@ -75,8 +75,8 @@
     async with site.run_site(one) as entry:
         here = f'{site.HOST}:{entry.gateway.peer_port}'
         known = entry.gateway.containment.suspects
-        known.take(
-            suspects.Suspicion(
+        known.merge(
+            suspects.SuspectRecord(
                 fingerprint='0123456789abcdef',
                 ends=(
                     suspects.EndAge(start=1, age=60.0),
