--- a/marigoldramp/gateway/deployment.py
+++ b/marigoldramp/gateway/deployment.py
@@ -68,7 +68,7 @@
     :ivar layers: number of layers, each with its own experts and expert map.
     :ivar experts: number of experts in each layer.
     :ivar places: maximum number of experts that a rank holds in each layer.
-    :ivar spare: maximum number of experts that a rank copies into each layer.
+    :ivar spare: maximum number of new experts that a rank copies per layer.
     :ivar expert_bytes: size of the weights of one expert.
     :ivar link_rate: bytes per second at which weights are copied.
     :ivar expert_share: fraction of the work done by the experts, 0 to 1.
--- a/marigoldramp/gateway/gossip.py
+++ b/marigoldramp/gateway/gossip.py
@@ -149,7 +149,7 @@
         intervals: report_intervals.Intervals,
         now: float,
     ) -> None:
-        """Send a report if the announced interval would else be exceeded."""
+        """Send a report if its interval would otherwise be exceeded."""
         due = self._due_at.get(peer.instance)
         shortest = min(intervals.near, intervals.remote)
         if due is not None and due >= now + shortest:
--- a/marigoldramp/gateway/periodic_tasks.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -85,8 +85,8 @@
     async def _serve_queues(self) -> None:
         """Assign endpoints to queued requests.
 
-        Requests wait for endpoints that are in backoff, or for a gate that
-        holds back the requests of a service.
+        Requests wait while endpoints are in backoff or the circuit breaker of
+        their service is tripped.
         """
         while True:
             await anyio.sleep(SERVE_INTERVAL_SECONDS)
