--- a/tests/gateway/test_gateway_state.py
+++ b/tests/gateway/test_gateway_state.py
@@ -472,7 +472,7 @@
 # Endpoints
 
 
-class FakeRecord:
+class EndpointStub:
     """A fake endpoint that has only what its record needs."""
 
     def __init__(self, identity):
@@ -511,10 +511,12 @@
     out of date shows it as ready.
     """
     follower, table, _ = make_follower(Clock())
-    record = site.make_record(FakeRecord('i-1'))
+    record = site.make_record(EndpointStub('i-1'))
     follower.apply_listing(listing(record))
     follower.apply_listing(
-        listing(site.make_record(FakeRecord('i-1'), leaving=True), revision=2)
+        listing(
+            site.make_record(EndpointStub('i-1'), leaving=True), revision=2
+        )
     )
     follower.apply_peer_listing(listing(record, revision=3))
     follower.apply_listing(listing(record, revision=4))
@@ -530,8 +532,8 @@
     and the connections of its earlier start must not be used for it.
     """
     follower, table, gone = make_follower(Clock())
-    old = site.make_record(FakeRecord('i-1'), leaving=True, born=1000)
-    new = site.make_record(FakeRecord('i-1'), born=2000)
+    old = site.make_record(EndpointStub('i-1'), leaving=True, born=1000)
+    new = site.make_record(EndpointStub('i-1'), born=2000)
     follower.apply_listing(listing(old))
     table.find('i-1').note_failure(now=0.0)
     match heard_by:
@@ -554,7 +556,7 @@
 
 def test_removed_endpoint_is_dropped_at_once_while_the_store_works():
     follower, table, gone = make_follower(Clock())
-    follower.apply_listing(listing(site.make_record(FakeRecord('i-1'))))
+    follower.apply_listing(listing(site.make_record(EndpointStub('i-1'))))
     follower.apply_changes(
         listings.Changes(records=(), removed=('i-1',), revision=2)
     )
@@ -572,7 +574,7 @@
     back, its list is empty until the endpoints have registered again.
     """
     source = site.FakeEndpoints()
-    record = site.make_record(FakeRecord('i-1'))
+    record = site.make_record(EndpointStub('i-1'))
     source.records = [record]
     follower, table, gone = make_follower(source=source)
     async with anyio.create_task_group() as tasks:
@@ -602,7 +604,7 @@
     the change.  A silent watch must not count as one without changes.
     """
     source = site.FakeEndpoints()
-    record = site.make_record(FakeRecord('i-1'))
+    record = site.make_record(EndpointStub('i-1'))
     source.records = [record]
     follower, table, _ = make_follower(source=source)
     async with anyio.create_task_group() as tasks:
@@ -610,7 +612,7 @@
         await anyio.sleep(0.5)
         source.changes = [
             listings.Changes(
-                records=(site.make_record(FakeRecord('i-1'), leaving=True),),
+                records=(site.make_record(EndpointStub('i-1'), leaving=True),),
                 removed=(),
                 revision=9,
                 newest=9,
@@ -631,7 +633,7 @@
     as a change of an endpoint that the other gateway has missed.
     """
     source = site.FakeEndpoints()
-    record = site.make_record(FakeRecord('i-1'))
+    record = site.make_record(EndpointStub('i-1'))
     source.records = [record]
     follower, _, _ = make_follower(source=source)
     other, _, _ = make_follower(source=site.FakeEndpoints())
@@ -664,12 +666,12 @@
 
 async def test_endpoints_are_listed_again_when_the_watch_history_is_gone():
     source = site.FakeEndpoints()
-    source.records = [site.make_record(FakeRecord('i-1'))]
+    source.records = [site.make_record(EndpointStub('i-1'))]
     follower, table, _ = make_follower(source=source)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(follower.run)
         await anyio.sleep(0.5)
-        source.records = [site.make_record(FakeRecord('i-2'))]
+        source.records = [site.make_record(EndpointStub('i-2'))]
         source.show(listings.HistoryGone())
         await anyio.sleep(0.5)
         tasks.cancel_scope.cancel()
@@ -681,7 +683,7 @@
     ('failures', 'pause'), [(1, 0.25), (2, 0.5), (3, 1.0), (9, 4.0)]
 )
 def test_backoff_of_a_failing_endpoint_grows(failures, pause):
-    endpoint = endpoints.Endpoint(record=site.make_record(FakeRecord('i-1')))
+    endpoint = endpoints.Endpoint(record=site.make_record(EndpointStub('i-1')))
     for _ in range(failures):
         endpoint.note_failure(now=10.0)
     assert not endpoint.is_open(now=10.0 + pause - 0.01)
@@ -696,17 +698,17 @@
 def make_dispatcher(slots=1, count=1):
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
     for number in range(count):
-        table.put(site.make_record(FakeRecord(f'i-{number}'), slots=slots))
-    made = dispatch.Dispatcher(
+        table.put(site.make_record(EndpointStub(f'i-{number}'), slots=slots))
+    dispatcher = dispatch.Dispatcher(
         table=table,
         clock=virtual_time.now,
         slots=lambda endpoint: endpoint.record.slots,
         random=random.Random(1),
     )
-    return made, table
+    return dispatcher, table
 
 
-def demand(priority=1, seconds=10.0, avoid=()):
+def make_slot_request(priority=1, seconds=10.0, avoid=()):
     return dispatch.SlotRequest(
         service='notes',
         priority=priority,
@@ -731,16 +733,18 @@
     If most ranks are slow, they are used too, as the others could not serve
     all requests.
     """
-    made, table = make_dispatcher(count=3)
+    dispatcher, table = make_dispatcher(count=3)
     for identity, pace in paces.items():
         quality = table.find(identity).quality
         note = quality.note_peer_pace if from_peer else quality.note_pace
         note(pace=pace, now=virtual_time.now())
     got = set()
     for _ in range(len(used)):
-        got.add((await made.acquire(demand())).endpoint.identity)
+        got.add(
+            (await dispatcher.acquire(make_slot_request())).endpoint.identity
+        )
     assert got == used
-    refused = await made.acquire(demand(seconds=0.5))
+    refused = await dispatcher.acquire(make_slot_request(seconds=0.5))
     assert refused.retry_after > 0.0
 
 
@@ -754,14 +758,14 @@
 
 
 async def test_urgent_requests_get_slots_first():
-    made, _ = make_dispatcher()
+    dispatcher, _ = make_dispatcher()
     order = []
 
     async def run(name, priority):
-        place = await made.acquire(demand(priority))
+        slot = await dispatcher.acquire(make_slot_request(priority))
         order.append(name)
         await anyio.sleep(0.1)
-        made.release(place)
+        dispatcher.release(slot)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run, 'first', 5)
@@ -778,54 +782,54 @@
     A caller disconnects while its request waits, or just after the request got
     a slot.
     """
-    made, table = make_dispatcher()
-    held = await made.acquire(demand())
+    dispatcher, table = make_dispatcher()
+    held = await dispatcher.acquire(make_slot_request())
 
     async def run():
-        place = await made.acquire(demand())
+        slot = await dispatcher.acquire(make_slot_request())
         try:
             await anyio.sleep(1.0)
         finally:
-            made.release(place)
+            dispatcher.release(slot)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
         await anyio.sleep(0.01)
         if granted:
-            made.release(held)
+            dispatcher.release(held)
         tasks.cancel_scope.cancel()
     if not granted:
-        made.release(held)
+        dispatcher.release(held)
     assert table.find('i-0').own_requests == 0
-    assert made.count_waiting('notes') == 0
+    assert dispatcher.count_waiting('notes') == 0
 
 
 async def test_request_without_a_slot_is_refused_in_time():
-    made, _ = make_dispatcher()
-    await made.acquire(demand())
-    refused = await made.acquire(demand(seconds=0.5))
+    dispatcher, _ = make_dispatcher()
+    await dispatcher.acquire(make_slot_request())
+    refused = await dispatcher.acquire(make_slot_request(seconds=0.5))
     assert virtual_time.now() == pytest.approx(0.5, abs=0.01)
     assert refused.retry_after > 0.0
 
 
 async def test_waiting_request_does_not_block_those_behind_it():
-    made, table = make_dispatcher(count=2)
-    first = await made.acquire(demand())
-    second = await made.acquire(demand())
+    dispatcher, table = make_dispatcher(count=2)
+    first = await dispatcher.acquire(make_slot_request())
+    second = await dispatcher.acquire(make_slot_request())
     names = {first.endpoint.identity, second.endpoint.identity}
     assert names == {'i-0', 'i-1'}
     got = []
 
     async def run(avoid):
-        place = await made.acquire(demand(avoid=avoid))
-        got.append(place.endpoint.identity)
+        slot = await dispatcher.acquire(make_slot_request(avoid=avoid))
+        got.append(slot.endpoint.identity)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run, (first.endpoint.identity,))
         await anyio.sleep(0.01)
         tasks.start_soon(run, ())
         await anyio.sleep(0.01)
-        made.release(first)
+        dispatcher.release(first)
         await anyio.sleep(0.01)
         assert got == [first.endpoint.identity]
-        made.release(second)
+        dispatcher.release(second)
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -338,8 +338,8 @@
 # Endpoints
 
 
-class FakeRecord:
-    """Stands for an endpoint of which only the record matters."""
+class EndpointStub:
+    """A fake endpoint that has only what its record needs."""
 
     def __init__(self, identity):
         self.identity = identity
@@ -353,7 +353,7 @@
         self.relies = True
         self.listing = None
         self.source = site.FakeEndpoints()
-        self.record = site.make_record(FakeRecord('i-1'))
+        self.record = site.make_record(EndpointStub('i-1'))
         self.source.records = [self.record]
         self.asked = []
         self.table = endpoints.EndpointTable(
@@ -373,7 +373,7 @@
         self.asked.append(newer_than)
         return self.listing
 
-    def tell(self, *records, settled, newest):
+    def announce(self, *records, settled, newest):
         self.listing = listings.Listing(
             records=records, revision=newest, newest=newest, settled=settled
         )
@@ -388,12 +388,12 @@
     settled: registrations of endpoints lapse while the store is down.
     """
     relying = RelyingGateway()
-    leaving = site.make_record(FakeRecord('i-2'), leaving=True)
+    leaving = site.make_record(EndpointStub('i-2'), leaving=True)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
         await anyio.sleep(1.0)
         watched = relying.follower._watching
-        relying.tell(leaving, settled=settled, newest=9)
+        relying.announce(leaving, settled=settled, newest=9)
         await anyio.sleep(0.3)
         tasks.cancel_scope.cancel()
     assert watched is None
@@ -413,14 +413,14 @@
     would use that endpoint for 3.5 s or longer.
     """
     relying = RelyingGateway()
-    other = site.make_record(FakeRecord('i-2'))
+    other = site.make_record(EndpointStub('i-2'))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
         await anyio.sleep(1.0)
-        relying.tell(other, settled=False, newest=9)
+        relying.announce(other, settled=False, newest=9)
         await anyio.sleep(settles_after)
         kept = relying.table.find('i-1')
-        relying.tell(other, settled=True, newest=9)
+        relying.announce(other, settled=True, newest=9)
         await anyio.sleep(discovery.UNSETTLED_RETRY_SECONDS + 0.3)
         gone = relying.table.find('i-1')
         asked = len(relying.asked)
@@ -443,16 +443,16 @@
     take the endpoints that it keeps for existing ones.
     """
     relying = RelyingGateway()
-    other = site.make_record(FakeRecord('i-2'))
+    other = site.make_record(EndpointStub('i-2'))
     announced = []
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
         await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
         announced.append(relying.follower.make_listing().settled)
-        relying.tell(other, settled=False, newest=9)
+        relying.announce(other, settled=False, newest=9)
         await anyio.sleep(0.3)
         announced.append(relying.follower.make_listing().settled)
-        relying.tell(other, settled=True, newest=9)
+        relying.announce(other, settled=True, newest=9)
         await anyio.sleep(discovery.UNSETTLED_RETRY_SECONDS + 0.3)
         announced.append(relying.follower.make_listing().settled)
         tasks.cancel_scope.cancel()
@@ -472,7 +472,7 @@
         make_report(f'q{one}', revision=9, settled=settled, data_centre='two')
         for one, settled in enumerate((0, 4, 9))
     ]
-    source = peer_exchange.PeerClient(
+    client = peer_exchange.PeerClient(
         peers=make_table(*near, *far), random=random.Random(3)
     )
     asked = []
@@ -483,7 +483,7 @@
 
     monkeypatch.setattr(peer_exchange, 'fetch_endpoints', fetch)
     for _ in range(20):
-        await source.fetch_endpoints(newer_than=4)
+        await client.fetch_endpoints(newer_than=4)
     assert {one.host for one in asked} == {'q2'}
 
 
@@ -495,7 +495,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(relying.follower.run)
         await anyio.sleep(presence.KEEP_UNLISTED_SECONDS + 1.0)
-        relying.tell(relying.record, settled=settles, newest=9)
+        relying.announce(relying.record, settled=settles, newest=9)
         await anyio.sleep(0.3)
         seen = relying.follower.reported_settled_revision()
         tasks.cancel_scope.cancel()
@@ -582,7 +582,7 @@
         await anyio.sleep(0.5)
         relying.source.show(
             listings.Changes(
-                records=(site.make_record(FakeRecord('i-1'), leaving=True),),
+                records=(site.make_record(EndpointStub('i-1'), leaving=True),),
                 removed=(),
                 revision=9,
                 newest=9,
@@ -598,8 +598,8 @@
         *[make_report(f'q{one}', data_centre='two') for one in range(9)],
         *make_reports(9),
     )
-    source = peer_exchange.PeerClient(peers=table, random=random.Random(3))
-    orders = [source._order_for_asking(table.live()) for _ in range(20)]
+    client = peer_exchange.PeerClient(peers=table, random=random.Random(3))
+    orders = [client._order_for_asking(table.live()) for _ in range(20)]
     for order in orders:
         assert all(table.is_near(peer) for peer in order[:9])
     assert len({order[0].instance for order in orders}) > 3
@@ -649,7 +649,7 @@
     def put(number, born=1):
         table.put(
             site.make_record(
-                FakeRecord(f'i-{number}'), born=born, host=str(number)
+                EndpointStub(f'i-{number}'), born=born, host=str(number)
             )
         )
 
@@ -673,7 +673,7 @@
     for number in range(near + 4 * each):
         centre = 'one' if number < near else DATA_CENTRES[1 + number % 4]
         record = site.make_record(
-            FakeRecord(f'i-{number}'), data_centre=centre, slots=3
+            EndpointStub(f'i-{number}'), data_centre=centre, slots=3
         )
         table.put(record)
     return table
