--- a/marigoldramp/gateway/configurations.py
+++ b/marigoldramp/gateway/configurations.py
@@ -111,7 +111,7 @@
         self.current = found
         self.document = document
         self.routes = routes.RouteTable(routes=found.routes)
-        # Confirmations of an older version count for a newer one, too.
+        # The older version's confirmation also counts for the newer one.
         self._note_confirmation(newest_at)
         logging.info(
             'configuration in force',
--- a/marigoldramp/gateway/gossip.py
+++ b/marigoldramp/gateway/gossip.py
@@ -24,7 +24,7 @@
 class Gossip:
     """Exchanges reports with all peers of this gateway.
 
-    :param seeds: returns addresses at which peers may be reached at first.
+    :param seeds: returns addresses to probe before any peer is known.
     :param build_report: returns the report for a peer, which announces the
         given interval; the peer is ``None`` for an address from which no
         report has arrived.
@@ -93,7 +93,7 @@
                 await self._receive(socket)
 
     def send_now(self) -> None:
-        """Send the next reports at once."""
+        """Send the next report to each peer at once."""
         self._due_at.clear()
         self._wake.set()
 
@@ -124,7 +124,7 @@
             self._table.expire_silent()
             leads = self._leads()
             if leads != self._was_leading:
-                # All peers learn at once who leads and of the new interval.
+                # All peers learn at once who leads and the new interval.
                 self._due_at.clear()
                 self._was_leading = leads
             intervals = self._compute_intervals(leads)
@@ -149,7 +149,7 @@
         intervals: report_intervals.Intervals,
         now: float,
     ) -> None:
-        """Send a report if its interval would otherwise be exceeded."""
+        """Send a report if it would be late at the next check."""
         due = self._due_at.get(peer.instance)
         shortest = min(intervals.near, intervals.remote)
         if due is not None and due >= now + shortest:
--- a/marigoldramp/gateway/peer_exchange.py
+++ b/marigoldramp/gateway/peer_exchange.py
@@ -1,7 +1,8 @@
 """What gateways fetch from each other over HTTP.
 
-A gateway that the platform's store does not answer fetches the configuration
-and the list of endpoints from a peer whose reports announce newer ones.
+A gateway fetches the configuration and the list of endpoints from a peer whose
+reports announce newer ones, for example while the platform's store does not
+answer it.
 """
 
 import random as random_module
@@ -113,7 +114,7 @@
         self._random = random
 
     async def fetch_configuration(self, version: int) -> bytes | None:
-        """Return the document of at least this version, if a peer has it."""
+        """Return the document of this version or a newer one from a peer."""
         known = [
             peer
             for peer in self._peers.live()
@@ -142,9 +143,9 @@
     ) -> listings.Listing | None:
         """Return the endpoints that a peer with a newer revision knows.
 
-        Peers whose list is settled come first.  Near gateways that the store
-        has turned away, most lists stay unsettled for two seconds, during
-        which an endpoint that has left would still be used.
+        Peers whose list is settled come first.  Where the store has turned
+        gateways away, most lists stay unsettled for two seconds, during which
+        an endpoint that has left would still be used.
         """
         known = [
             peer
--- a/marigoldramp/gateway/peer_registry.py
+++ b/marigoldramp/gateway/peer_registry.py
@@ -18,8 +18,8 @@
 KIND = 'marigoldramp-entries'
 #: Used while the store does not answer.
 RETRY_INTERVAL_SECONDS = 1.0
-#: Reading the registry again lets gateways find each other that started while
-#: one of them could not reach the store.
+#: Gateways that started while one of them could not reach the store find each
+#: other when the registry is read again.
 READ_INTERVAL_SECONDS = 60.0
 #: Random delay before a gateway checks that its row has survived a restore of
 #: the store from a backup.  A gateway that starts next finds the others by
@@ -103,7 +103,7 @@
         return False
 
     async def _synchronize(self) -> bool:
-        """Read all rows and write this gateway's; return the success."""
+        """Read all rows and write this gateway's; return whether it worked."""
         found = await self._store.list_objects(kind=KIND)
         if isinstance(found, store_module.Unavailable):
             return False
--- a/marigoldramp/gateway/peer_reports.py
+++ b/marigoldramp/gateway/peer_reports.py
@@ -34,7 +34,7 @@
     :ivar leaving: the sender is shutting down.
     :ivar call_host: host at which callers connect, empty if the sender accepts
         no callers.
-    :ivar version: configuration in force at the sender.
+    :ivar version: version of the configuration in force at the sender.
     :ivar version_age: seconds since that version was confirmed to be the
         newest; negative if it never was.
     :ivar revision: revision of the newest change of endpoints that the sender
--- a/marigoldramp/gateway/peers.py
+++ b/marigoldramp/gateway/peers.py
@@ -17,8 +17,8 @@
 from . import peer_reports
 from . import report_intervals
 
-#: Longest report interval of a peer for which this gateway waits before it
-#: reads the store itself.
+#: Peers with at most this report interval may read the store before this
+#: gateway does: it soon learns the result from their reports.
 MAX_FREQUENT_INTERVAL_SECONDS = 0.3
 #: Gateways of one data centre that read the store while it answers them, and
 #: the most that try while it does not.  Every call to the store costs money:
@@ -38,8 +38,8 @@
 MAX_MISSED_REPORTS = 3
 #: Missed reports after which another gateway may take over a peer's groups.  A
 #: leader that is killed or suspended can stall a group of ranks, and callers
-#: abandon a stream after two seconds; what remains of these is needed for the
-#: takeover itself.
+#: abandon a stream after two seconds.  The takeover itself has to fit into
+#: that time as well.
 MAX_MISSED_BEFORE_TAKEOVER = 5
 #: Fraction of the largest capacity from which a gateway counts as equal to the
 #: strongest one.
@@ -112,11 +112,11 @@
         return [peer for peer in self._peers.values() if peer.live]
 
     def is_near(self, peer: Peer) -> bool:
-        """Whether a peer is in this data centre, or may be."""
+        """Whether a peer is in this data centre, or has not reported."""
         report = peer.report
         return report is None or report.data_centre == self._data_centre
 
-    def list_frequent(self) -> list[Peer]:
+    def list_frequent_reporters(self) -> list[Peer]:
         """Return the live peers that report at short intervals."""
         return [
             peer
@@ -136,7 +136,7 @@
         own = (-capacity, self._instance)
         return [
             peer
-            for peer in self.list_frequent()
+            for peer in self.list_frequent_reporters()
             if peer.report is not None
             and (-peer.report.capacity, peer.instance) < own
         ]
@@ -151,6 +151,7 @@
             for peer in self.list_earlier_readers(capacity=capacity)
             if self.is_near(peer) and self._is_recently_heard(peer)
         ]
+        # A gateway that the store does not answer reports that it cannot lead.
         answered = sum(
             peer.report is not None and peer.report.can_lead for peer in near
         )
@@ -243,7 +244,10 @@
                 )
 
     def sample_live(self, most: int) -> tuple[peer_reports.KnownPeer, ...]:
-        """Return random live peers, to be named to another peer."""
+        """Return random live peers to name in a report.
+
+        This is how all gateways learn of each other.
+        """
         live = self.live()
         chosen = self._random.sample(live, min(most, len(live)))
         return tuple(
@@ -264,9 +268,9 @@
         near = [peer for peer in ready if self.is_near(peer)]
         if len(near) >= MIN_NEAR_ADDRESSES:
             ready = near
-        idle = [peer for peer in ready if not _leads(peer)]
-        if len(idle) >= MIN_NON_LEADER_ADDRESSES:
-            ready = idle
+        non_leaders = [peer for peer in ready if not _leads(peer)]
+        if len(non_leaders) >= MIN_NON_LEADER_ADDRESSES:
+            ready = non_leaders
         found = [
             outbound.Address(
                 host=peer.report.call_host, port=peer.report.call_port
@@ -311,16 +315,16 @@
         return bool(heard) and 2 * heard > len(others)
 
     def _list_reference_peers(self, peer: Peer | None) -> list[Peer]:
-        """Return the peers whose silence shows a fault of this gateway.
+        """Return the peers whose silence would show a fault of this gateway.
 
         Peers with long report intervals are left out if possible: they count
         as heard long after this gateway was suspended or partitioned.
         """
-        known = self.list_frequent() or self.live()
+        known = self.list_frequent_reporters() or self.live()
         return [one for one in known if one is not peer]
 
     def denies_leading(self, instance: str, group: str) -> bool:
-        """Whether a peer is heard and reports that it does not lead."""
+        """Whether a peer is heard but does not report leading the group."""
         peer = self._peers.get(instance)
         if (
             peer is None
@@ -336,17 +340,17 @@
         :param capacity: capacity of this gateway.
         """
         capacities = self._candidate_capacities()
-        most = max(capacities.values(), default=0.0)
-        least = MIN_EQUAL_CAPACITY_RATIO * max(most, capacity)
-        return [name for name, one in capacities.items() if one >= least]
+        largest = max(capacities.values(), default=0.0)
+        threshold = MIN_EQUAL_CAPACITY_RATIO * max(largest, capacity)
+        return [name for name, one in capacities.items() if one >= threshold]
 
     def has_stronger_peer(self, *, capacity: float) -> bool:
         """Whether a peer that may lead has much more capacity.
 
         :param capacity: capacity of this gateway.
         """
-        most = max(self._candidate_capacities().values(), default=0.0)
-        return capacity < MIN_EQUAL_CAPACITY_RATIO * most
+        largest = max(self._candidate_capacities().values(), default=0.0)
+        return capacity < MIN_EQUAL_CAPACITY_RATIO * largest
 
     def _candidate_capacities(self) -> dict[str, float]:
         """Return the capacity of each live peer that may lead."""
--- a/marigoldramp/gateway/periodic_tasks.py
+++ b/marigoldramp/gateway/periodic_tasks.py
@@ -22,11 +22,11 @@
 SERVE_INTERVAL_SECONDS = 0.1
 CLEANUP_INTERVAL_SECONDS = 0.5
 SETTINGS_INTERVAL_SECONDS = 1.0
-#: Interval of asking peers for endpoints while the store does not answer.
+#: Interval of fetches from peers while the store does not answer.
 PEER_FETCH_INTERVAL_SECONDS = 0.5
-#: Time after a failure of the store during which registrations of running
+#: Age of the store's last failure up to which registrations of running
 #: endpoints may lapse.
-DISTURBANCE_SECONDS = 1.0
+MAX_FAILURE_AGE_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -85,8 +85,8 @@
     async def _serve_queues(self) -> None:
         """Assign endpoints to queued requests.
 
-        Requests wait while endpoints are in backoff or the circuit breaker of
-        their service is tripped.
+        Requests may wait for the end of an endpoint's backoff, or for the
+        circuit breaker of their service to be reset.
         """
         while True:
             await anyio.sleep(SERVE_INTERVAL_SECONDS)
@@ -107,13 +107,13 @@
     async def _fetch_endpoints_from_peers(self) -> None:
         """Fetch endpoints from a peer while the store does not answer.
 
-        Also note each failure of the store, after which registrations lapse.
+        Also note failures of the store, after which registrations may lapse.
         """
         follower = self._components.follower
         while True:
             await anyio.sleep(PEER_FETCH_INTERVAL_SECONDS)
             failed_at = self._components.refresher.store.failed_at
-            if self._clock() - failed_at < DISTURBANCE_SECONDS:
+            if self._clock() - failed_at < MAX_FAILURE_AGE_SECONDS:
                 follower.presence.note_store_outage()
             if follower.store.reached:
                 continue
--- a/marigoldramp/gateway/refresh.py
+++ b/marigoldramp/gateway/refresh.py
@@ -1,10 +1,10 @@
 """Keeps the configuration up to date.
 
-All gateways together read the store about once per
-``MIN_READ_AGE_SECONDS``: the first in the order of those that hear each other
-reads it when its confirmation is that old, and the others learn the result
-from its reports.  Each next one waits longer, so that it reads only if the one
-before does not.  A gateway that hears no peer is the first.
+All gateways together read the store about once per ``MIN_READ_AGE_SECONDS``.
+Those that hear each other have an order: the first reads the store when its
+confirmation is that old, and the others learn the result from its reports.
+Each next one waits longer, so that it reads only if the one before does not.
+A gateway that hears no peer is the first.
 """
 
 from typing import Awaitable
@@ -30,7 +30,7 @@
 #: Interval between two checks of the age.
 CHECK_INTERVAL_SECONDS = 0.1
 
-#: Fetches the document of at least a version from a peer.
+#: Fetches the document of a version or a newer one from a peer.
 FetchFromPeers = Callable[[int], Awaitable[bytes | None]]
 
 
@@ -38,8 +38,8 @@
     """Reads the configuration when its confirmation is too old.
 
     :param from_peers: fetches a newer version that a peer has announced.
-    :param position: returns the position of this gateway in the order in which
-        those that hear each other often read the store, 0 for the first.
+    :param position: returns how many peers read the store before this gateway,
+        0 for the first one.
     :param restored_at: returns when the store was last restored from a backup.
     :ivar store: tracks whether the store answers.
     """
@@ -144,7 +144,7 @@
         )
 
     def _find_confirmation_time(self, asked_at: float) -> float:
-        """Return the time as of which a document that was read is the newest.
+        """Return when a document that was read counts as the newest.
 
         A store that was restored from a backup returns an older document for a
         moment.  If that counted as the newest, a key revoked since the backup
@@ -161,8 +161,8 @@
     async def _fetch_from_peers(self) -> None:
         """Fetch a newer version from a peer that has announced it.
 
-        The fetch confirms nothing: when the version was known to be the newest
-        is told by reports.
+        The fetch confirms nothing: reports tell when the version was last
+        known to be the newest.
         """
         document = await self._from_peers(self._announced_version)
         if document is not None:
--- a/marigoldramp/gateway/reporting.py
+++ b/marigoldramp/gateway/reporting.py
@@ -19,8 +19,8 @@
 from . import settings as settings_module
 
 #: Time for which the same description of this gateway is used in reports.
-#: What a report confirms can be older by this than its receiver assumes, which
-#: is little compared with the time allowed for revoking a key.
+#: The confirmation in a report can be older by this than its receiver assumes,
+#: which is little compared with the time allowed for revoking a key.
 MAX_DESCRIPTION_AGE_SECONDS = 0.03
 #: Interval between two descriptions that name other peers.
 NAMING_INTERVAL_SECONDS = 1.0
@@ -86,7 +86,7 @@
         """Return the report for a peer, built from a recent description.
 
         :param peer: ``None`` for one that has not reported.
-        :param interval: seconds until its next report.
+        :param interval: seconds within which the peer gets the next report.
         """
         now = self._clock()
         description = self._description
@@ -177,7 +177,10 @@
         )
 
     def _sample_peers(self, now: float) -> tuple[peer_reports.KnownPeer, ...]:
-        """Return some peers once an interval; they are most of a report."""
+        """Return some peers once per ``NAMING_INTERVAL_SECONDS``, else none.
+
+        They make up most of a report's size.
+        """
         if now - self._peers_named_at < NAMING_INTERVAL_SECONDS:
             return ()
         self._peers_named_at = now
@@ -186,10 +189,10 @@
         )
 
     def _apply_confirmation(self, report: peer_reports.Report) -> None:
-        """Record until when a peer knew the version to be the newest.
+        """Record when a peer last knew its version to be the newest.
 
         Only the echo of a report of this gateway shows how old the peer's
-        report can be, including the time for which it lay unread here.
+        report can be, including its time on the way and unread here.
         """
         if report.version_age < 0.0 or not report.echo:
             return
@@ -226,7 +229,7 @@
         }
 
     def _list_paces(self, now: float) -> dict[str, float]:
-        """Return the ranks that report to this gateway that they are slow."""
+        """Return the slow ranks among those that report to this gateway."""
         paces = {
             one.identity: one.quality.reported_pace(now=now)
             for one in self._components.table
@@ -261,5 +264,5 @@
 
 
 def _age(now: float, at: float) -> float:
-    """Return the age of a time, -1 for one that never was."""
+    """Return the seconds since a time, -1 if it is unset."""
     return now - at if at != float('-inf') else -1.0
--- a/marigoldramp/gateway/settings.py
+++ b/marigoldramp/gateway/settings.py
@@ -9,9 +9,9 @@
 from . import retry_budget
 
 Address = outbound.Address
-#: Link bandwidth in bytes per second that balances one core: a leader of 192
-#: ranks sends 4.8 MB for one change of the expert map, and a core sends about
-#: 2,000 orders per second.
+#: Link bandwidth in bytes per second that counts as much as one core: a leader
+#: of 192 ranks sends 4.8 MB for one change of the expert map, and a core sends
+#: about 2,000 orders per second.
 LINK_BYTES_PER_SECOND_PER_CORE = 2_500_000.0
 
 
@@ -79,8 +79,9 @@
         """Return the capacity of the instance, in cores.
 
         The leader of a large group sends each change of the expert map to all
-        ranks while it serves callers.  An instance with two cores and
-        100 Mbit/s takes less than half as long for this as one with one core
-        and 20 Mbit/s, and the ranks stay balanced for that much longer.
+        ranks while it serves callers.  Where instances differ in size, one
+        with two cores and 100 Mbit/s takes less than half as long for this as
+        one with one core and 20 Mbit/s, and the ranks stay balanced for that
+        much longer.
         """
         return min(self.cores, self.link_rate / LINK_BYTES_PER_SECOND_PER_CORE)
--- a/marigoldramp/gateway/stopping.py
+++ b/marigoldramp/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown, which cuts off no request of a caller."""
+"""The graceful shutdown, which lets the requests of callers end."""
 
 import dataclasses
 from typing import Awaitable
@@ -11,9 +11,10 @@
 from . import listeners
 
 #: How long new connections are still accepted after the request to stop, as
-#: callers cache addresses for a while.  Between these bounds it ends once no
-#: request has come for ``QUIET_SECONDS``.  The longer an instance takes to
-#: stop, the longer it is missing, and others may stop meanwhile.
+#: callers cache addresses for a while.  Between these bounds, the listener is
+#: closed once no request has come for ``QUIET_SECONDS``.  The longer an
+#: instance takes to stop, the longer it is missing, and others may stop
+#: meanwhile.
 MIN_ACCEPTING_SECONDS = 0.8
 MAX_ACCEPTING_SECONDS = 2.5
 QUIET_SECONDS = 0.5
@@ -31,7 +32,7 @@
 
     :ivar resign: gives up leadership of all groups of ranks.
     :ivar listener: accepts the connections of callers.
-    :ivar connections: connections of callers, which change meanwhile.
+    :ivar connections: open connections of callers, kept up to date.
     :ivar last_request_at: returns when the last request came.
     """
 
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -5,7 +5,7 @@
 
 @pytest.fixture
 def lines(caplog):
-    """Return a function that finds the fields of all lines of a message."""
+    """Return a function that lists the fields of log lines by message."""
     caplog.set_level('INFO')
 
     def find(message):
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -300,13 +300,13 @@
 
 def cut_reports(monkeypatch, fleet):
     """Drop reports and fetches to and from partitioned gateways."""
-    take = gossip.Gossip._handle_datagram
+    handle_datagram = gossip.Gossip._handle_datagram
     fetch = peer_exchange.fetch
 
-    def hear(self, data, source):
+    def handle_unless_cut(self, data, source):
         sender = peer_reports.decode(data).instance
         if not fleet.cut & {sender, self._table._instance}:
-            take(self, data, source)
+            handle_datagram(self, data, source)
 
     async def fetch_unless_cut(*, address, path):
         name = next(
@@ -316,5 +316,5 @@
             return None
         return await fetch(address=address, path=path)
 
-    monkeypatch.setattr(gossip.Gossip, '_handle_datagram', hear)
+    monkeypatch.setattr(gossip.Gossip, '_handle_datagram', handle_unless_cut)
     monkeypatch.setattr(peer_exchange, 'fetch', fetch_unless_cut)
--- a/tests/gateway/test_gateway_state.py
+++ b/tests/gateway/test_gateway_state.py
@@ -341,7 +341,7 @@
 
 
 @pytest.mark.parametrize(
-    ('heard', 'since', 'lost'),
+    ('heard', 'since', 'unreachable'),
     [
         (('a', 'b'), 1.3, True),
         (('a', 'b'), 1.0, False),
@@ -349,19 +349,19 @@
     ],
     ids=['silent all the while', 'just started', 'nobody is heard'],
 )
-def test_leader_that_was_never_heard_is_unreachable(heard, since, lost):
+def test_leader_that_was_never_heard_is_unreachable(heard, since, unreachable):
     """Guards against a group that stalls for four seconds.
 
-    A leader freezes during a change of the map.  Its successor has started
-    just after that and never heard it.  If only peers that were heard before
-    could be suspect, it would wait for the lease to expire.
+    A leader freezes during a change of the expert map.  Its successor starts
+    just after that, so it has never heard the leader.  If only peers that were
+    heard before could be suspect, it would wait for the lease to expire.
     """
     clock = Clock()
     table = make_peers(clock)
     clock.now += since
     for name in heard:
         table.apply_report(site.make_report(name, sent=since))
-    assert table.is_unreachable('frozen') is lost
+    assert table.is_unreachable('frozen') is unreachable
     assert not table.is_suspect('frozen')
 
 
@@ -390,7 +390,7 @@
         near=peer_count, remote=0, leads=leads
     ).near
 
-    def take_all():
+    def apply_all():
         for name in names:
             table.apply_report(
                 site.make_report(
@@ -400,28 +400,28 @@
                 )
             )
 
-    take_all()
+    apply_all()
 
-    def refresh():
+    def report_others():
         for name in names[1:]:
             table.apply_report(site.make_report(name, sent=clock.now + 2.0))
 
     begun = clock.now
     clock.now = begun + suspect - 0.05
-    refresh()
+    report_others()
     assert not table.is_suspect('p0')
     clock.now = begun + suspect + 0.05
-    refresh()
+    report_others()
     assert table.is_suspect('p0')
     table = make_peers(clock)
-    take_all()
+    apply_all()
     begun = clock.now
     clock.now = begun + silent - 0.05
-    refresh()
+    report_others()
     table.expire_silent()
     assert len(table.live()) == peer_count
     clock.now = begun + silent + 0.05
-    refresh()
+    report_others()
     table.expire_silent()
     assert len(table.live()) == peer_count - 1
 
--- a/tests/gateway/test_large_deployments.py
+++ b/tests/gateway/test_large_deployments.py
@@ -2,9 +2,9 @@
 
 The numbers are those of 99 gateways in five data centres and 192 endpoints
 with three slots each, where each gateway has about five requests in flight.
-The tests bound what would grow with the square of the gateways: reports
-between them, calls to the store, and selections of one endpoint by several
-gateways at once.
+The tests bound what would grow with the square of the number of
+gateways: reports between them, calls to the store, and selections of one
+endpoint by several gateways at once.
 """
 
 import contextlib
@@ -155,13 +155,13 @@
 
 
 async def test_reports_keep_the_announced_interval():
-    """A peer takes a gateway for dead that exceeds its announced interval."""
+    """Peers take a gateway for dead if it exceeds its announced interval."""
     sender = Sender()
     async with sender.run():
         await anyio.sleep(12.0)
-    promised = {host: period for _, host, period in sender.socket.sent}
-    assert promised['p00'] < 0.2 < 1.9 < promised['q00']
-    for host, period in promised.items():
+    announced = {host: period for _, host, period in sender.socket.sent}
+    assert announced['p00'] < 0.2 < 1.9 < announced['q00']
+    for host, period in announced.items():
         assert max(sender.gaps(host)) <= period + 0.01
     remote = [at for at, host, _ in sender.socket.sent if host[0] == 'q']
     settled = [at for at in remote if at > remote[0] + 4.0]
@@ -173,11 +173,11 @@
 
 @pytest.mark.parametrize('leads', [True, False])
 async def test_all_peers_hear_at_once_who_leads(leads):
-    """Guards against two gateways that keep taking over a lease.
+    """Guards against two gateways that keep taking a lease from each other.
 
-    A gateway takes the lease of a group.  If remote peers learn of it only
-    with their next regular report, two seconds later, the last report still
-    says that it does not lead, and one of them takes the lease over.
+    A gateway takes the lease of a group.  If remote peers learned of it only
+    from its next regular report, two seconds later, its last one would still
+    say that it does not lead, and one of them would take the lease over.
     """
     sender = Sender()
     sender.leads = not leads
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize(
-    ('capacities', 'own', 'rivals', 'outdone'),
+    ('capacities', 'own', 'candidates', 'has_stronger'),
     [
         ({'a': 1.0, 'b': 1.0}, 1.0, {'a', 'b'}, False),
         ({'a': 2.1, 'b': 1.0}, 1.0, {'a'}, True),
@@ -251,7 +251,9 @@
         ({}, 1.0, set(), False),
     ],
 )
-async def test_strongest_gateways_lead(capacities, own, rivals, outdone):
+async def test_strongest_gateways_lead(
+    capacities, own, candidates, has_stronger
+):
     """Guards against a leader with too little capacity.
 
     A leader with 20 Mbit/s sends 25 KB to each of 192 ranks, which takes two
@@ -261,12 +263,12 @@
     table = make_table(
         *[make_report(name, capacity=one) for name, one in capacities.items()]
     )
-    assert set(table.list_leader_candidates(capacity=own)) == rivals
-    assert table.has_stronger_peer(capacity=own) is outdone
+    assert set(table.list_leader_candidates(capacity=own)) == candidates
+    assert table.has_stronger_peer(capacity=own) is has_stronger
 
 
 @pytest.mark.parametrize(
-    ('strong', 'fit', 'weak_before', 'relies'),
+    ('strong', 'can_lead', 'weak_before', 'relies'),
     [
         (3, True, 0, True),
         (2, True, 0, False),
@@ -278,7 +280,7 @@
     ],
 )
 async def test_few_gateways_of_a_data_centre_read_the_store(
-    strong, fit, weak_before, relies
+    strong, can_lead, weak_before, relies
 ):
     """Calls to the store are the largest cost of a day without faults.
 
@@ -288,7 +290,7 @@
     """
     table = make_table(
         *[
-            make_report(f'x{number}', capacity=2.1, can_lead=fit)
+            make_report(f'x{number}', capacity=2.1, can_lead=can_lead)
             for number in range(strong)
         ],
         *[make_report(f'a{number}') for number in range(weak_before)],
@@ -435,12 +437,12 @@
 
 
 async def test_list_from_an_unsettled_peer_is_not_announced_as_settled():
-    """Guards against requests to an endpoint that has left, for 3.2 s.
+    """Guards against using an endpoint for 3.2 s after it has left.
 
     A gateway that relies on peers fetches a list that is not settled, and
     keeps the endpoints missing from it.  If it then announced its own list as
     settled because the store answers it, the next gateway that asks it would
-    take the endpoints that it keeps for existing ones.
+    take the kept endpoints for existing ones.
     """
     relying = RelyingGateway()
     other = site.make_record(EndpointStub('i-2'))
@@ -460,12 +462,12 @@
 
 
 async def test_peers_with_a_settled_list_are_asked_first(monkeypatch):
-    """Guards against requests to an endpoint that has left, for 3.05 s.
+    """Guards against using an endpoint for 3.05 s after it has left.
 
     The store turns away all gateways of a data centre that read it, so their
-    lists are settled only two seconds later.  A gateway there that asks local
-    peers first, whatever they know, goes from one to the next, though remote
-    peers know at once.
+    lists are settled only two seconds later.  A gateway there that asked local
+    peers first, whatever they know, would get one unsettled list after the
+    other, though remote peers have settled ones at once.
     """
     near = [make_report(f'p{one}', revision=9, settled=0) for one in range(6)]
     far = [
@@ -606,7 +608,7 @@
 
 
 class FakeRankApi(ranks.RankApi):
-    """Endpoints that report their group, and record each query."""
+    """Reports the same group for all endpoints, and records each query."""
 
     def __init__(self):
         self.asked = []
