--- a/marigoldramp/platform/configuration.py
+++ b/marigoldramp/platform/configuration.py
@@ -46,12 +46,12 @@
 ):
     """A route to one service, or to several that share its traffic.
 
-    :ivar objective_ms: within which an answer counts in full; of a stream,
-        its first event.
-    :ivar attempts: the most endpoints on which one request may run.
+    :ivar objective_ms: target latency within which an answer counts in full;
+        for a stream, that of its first event.
+    :ivar attempts: maximum number of endpoints on which one request may run.
     :ivar resumable: a broken stream may continue on another endpoint.
-    :ivar pause_ms: time between two events of a stream above which it counts
-        as late; 0 for no bound.
+    :ivar pause_ms: time between two events above which a stream counts as
+        late; 0 for no bound.
     """
 
     name: str
@@ -101,16 +101,16 @@
 ):
     """Capacity and timing of a service's model engines.
 
-    :ivar slots: requests that run at once.
-    :ivar stride: steps in one pass of the group.
+    :ivar slots: maximum number of concurrent requests.
+    :ivar stride: steps in one forward pass of the group.
     :ivar step_ms: time of a token step without requests.
-    :ivar per_request_ms: added to a step for each running request.
+    :ivar per_request_ms: time added to a step for each running request.
     :ivar prompt_rate: prompt tokens read per second.
     :ivar layers: expert layers; the platform calls a layer a set.
-    :ivar places: experts that a rank can hold in each layer.
-    :ivar spare: new experts that a rank can copy in each layer.
-    :ivar link_mbps: at which weights are copied.
-    :ivar expert_share: part of the work that the experts do, 0 to 1.
+    :ivar places: maximum number of experts that a rank holds in each layer.
+    :ivar spare: maximum number of new experts that a rank copies per layer.
+    :ivar link_mbps: megabits per second at which weights are copied.
+    :ivar expert_share: fraction of the work done by the experts, 0 to 1.
     """
 
     slots: int
@@ -139,7 +139,8 @@
 ):
     """Connection limit and engines of a service.
 
-    :ivar connections: that one endpoint accepts from all callers together.
+    :ivar connections: maximum that one endpoint accepts from all callers
+        together.
     """
 
     name: str
@@ -192,7 +193,7 @@
 
 
 class StoreConfigurationSource(configurations.ConfigurationSource):
-    """Fetches the configuration, one object in the store."""
+    """Fetches the configuration from its object in the store."""
 
     __slots__ = ('_store',)
 
--- a/marigoldramp/platform/days.py
+++ b/marigoldramp/platform/days.py
@@ -4,7 +4,7 @@
 bench; a site is the simulated deployment.  ``deploy/days.toml`` lists the
 disruptions; traffic and length are those of a quiet day of the site.  Each
 disruption has two days: on ``often`` it occurs early, twice in a row and
-late, on ``away`` while the platform's store is down.
+late; on ``away`` it occurs while the platform's store is down.
 """
 
 import copy
@@ -27,8 +27,8 @@
 
 TomlTable = dict[str, Any]
 
-#: When a disruption occurs on the day ``often``, from the start of traffic.
-#: Days of a site last about 30 s.
+#: Times of a disruption on the day ``often``, from the start of traffic.  Days
+#: of a site last about 30 s.
 REPEATED_AT_SECONDS = (1.0, 9.0, 12.0, 22.0)
 #: The same on the day ``away``, during the outage of the store.
 OUTAGE_AT_SECONDS = (10.0, 16.0)
@@ -74,13 +74,13 @@
     *, disruptions: dict[str, Any], quiet_day: TomlTable
 ) -> Iterator[Day]:
     """Return all days, made from a quiet day of a site."""
-    for part in ('plan', 'faults'):
-        for disruption in disruptions[part]:
+    for section in ('plan', 'faults'):
+        for disruption in disruptions[section]:
             name = _make_name(disruption)
             yield _make_day(
                 f'{name}-often',
                 quiet_day,
-                part,
+                section,
                 disruption,
                 REPEATED_AT_SECONDS,
                 (),
@@ -88,7 +88,7 @@
             yield _make_day(
                 f'{name}-away',
                 quiet_day,
-                part,
+                section,
                 disruption,
                 OUTAGE_AT_SECONDS,
                 (STORE_OUTAGE,),
@@ -103,14 +103,14 @@
 def _make_day(
     name: str,
     quiet_day: TomlTable,
-    part: str,
+    section: str,
     disruption: TomlTable,
     times: tuple[float, ...],
     other_faults: tuple[TomlTable, ...],
 ) -> Day:
     content = copy.deepcopy(quiet_day)
     content |= {'name': name, 'plan': [], 'faults': list(other_faults)}
-    content[part] += [disruption | {'at': at} for at in times]
+    content[section] += [disruption | {'at': at} for at in times]
     return Day(name=name, content=content)
 
 
@@ -183,7 +183,7 @@
     limiter = anyio.CapacityLimiter(jobs)
     outcomes: dict[str, Outcome] = {}
 
-    async def run(day: Day) -> None:
+    async def run_one(day: Day) -> None:
         outcome = await anyio.to_thread.run_sync(
             _run_day, bench, site, day, why, limiter=limiter
         )
@@ -192,7 +192,7 @@
 
     async with anyio.create_task_group() as tasks:
         for day in days:
-            tasks.start_soon(run, day)
+            tasks.start_soon(run_one, day)
     return [outcomes[day.name] for day in days]
 
 
--- a/marigoldramp/platform/endpoints.py
+++ b/marigoldramp/platform/endpoints.py
@@ -72,7 +72,7 @@
 
 
 def _merge_events(found: objects.Events) -> listings.Changes:
-    """Return the last state of each endpoint that has events.
+    """Return the state of each changed endpoint after its last event.
 
     An endpoint whose last object cannot be decoded counts as removed.
     """
--- a/marigoldramp/platform/eras.py
+++ b/marigoldramp/platform/eras.py
@@ -1,7 +1,7 @@
-"""Tells the platform's store before a restore from backup from that after it.
+"""Distinguishes data from before and after a restore of the platform's store.
 
-A restored store assigns revisions again that it had assigned before, so the
-same revision can stand for two states.  Compared by revision alone, data read
+A store that is restored from a backup assigns the same revisions again, so
+one revision can stand for two states.  Compared by revision alone, data read
 before the restore can look newer than the current data, and a conditional
 write can succeed on an unrelated object that has the expected revision.
 
@@ -34,9 +34,9 @@
     revision: int
 
 
-def make_version(position: EraRevision) -> int:
+def make_version(era_revision: EraRevision) -> int:
     """Return the version for an era and a revision."""
-    return position.era * _REVISIONS_PER_ERA + position.revision
+    return era_revision.era * _REVISIONS_PER_ERA + era_revision.revision
 
 
 def split_version(version: int) -> EraRevision:
@@ -72,8 +72,8 @@
         """Update the era from a response; return why to reject it, or ''.
 
         A response of an older era was sent before the restore.  A store that
-        sends its era does so in every response, so one without a valid era is
-        from another server.
+        sends its era does so in every response, so a response without a valid
+        era is from another server.
         """
         values = [
             value for name, value in headers if name.lower() == ERA_HEADER
@@ -92,7 +92,8 @@
     def observe(self, era: int) -> None:
         """Update the era from another gateway that read it from the store.
 
-        Most gateways send the store no requests while others read for them.
+        Most gateways send the store no requests as long as others read it for
+        them.
         """
         if era > self.current:
             self._set_era(era)
@@ -124,7 +125,7 @@
 
 
 def _parse_era(values: list[bytes]) -> int | None:
-    """Return the era in a response's header values, if it is valid."""
+    """Return the era in the values of its header, or None if invalid."""
     if len(values) != 1 or not values[0].isdigit():
         return None
     if len(values[0]) > MAX_ERA_DIGITS:
--- a/marigoldramp/platform/headers.py
+++ b/marigoldramp/platform/headers.py
@@ -54,7 +54,7 @@
 
 
 class Codec(codecs.Codec):
-    """Translates between the platform's headers and the gateway's facts."""
+    """Translates between the platform's headers and the gateway's types."""
 
     def read_request(self, headers: codecs.Headers) -> codecs.RequestFacts:
         found = dict(headers)
--- a/marigoldramp/platform/objects.py
+++ b/marigoldramp/platform/objects.py
@@ -20,8 +20,9 @@
 OBJECTS_PATH = '/marigoldramp/objects'
 #: The store responds within milliseconds, or a few hundred when it is slow.
 MAX_CALL_SECONDS = 1.0
-#: Time without data after which a connection counts as lost.  An endpoint
-#: must get no new request later than 2 s after it reports that it is leaving.
+#: A connection counts as lost if the store acknowledges no TCP probe for this
+#: long.  Short, as an endpoint must get no new request later than 2 s after
+#: it reports that it is leaving.
 MAX_SILENCE_SECONDS = 3
 MILLISECONDS_PER_SECOND = 1000.0
 JSON_HEADERS = [(b'content-type', b'application/json')]
@@ -100,7 +101,7 @@
 class Page:
     """One page of a list.
 
-    :ivar more: another page follows, after the name of the last item.
+    :ivar more: another page follows; it starts after the last item's name.
     """
 
     items: list[Object]
@@ -150,7 +151,8 @@
 
     def __init__(self, *, address: settings.Address) -> None:
         # A connection to the store can stop delivering data for good without
-        # being closed.  So none is reused, and TCP probes end a watch on one.
+        # being closed.  So none is reused, and TCP probes end a watch whose
+        # connection is dead.
         self._client = api_client.ApiClient(
             address=f'http://{address.host}:{address.port}',
             kept=0,
@@ -343,8 +345,8 @@
     ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
         """Return the result of a write that expected a revision.
 
-        Returns a conflict if the store was restored meanwhile: the write then
-        applied to an unrelated object with that revision, if to any.
+        Returns a conflict if the store was restored meanwhile.  If the write
+        took effect, it changed an unrelated object with that revision.
         """
         if era_revision.era != self._era_tracker.current:
             return store.Conflict(key=key)
@@ -353,7 +355,7 @@
     def _parse_write(
         self, reply: Reply | Failure, key: store.Key
     ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
-        found = _parse_write(reply, key)
+        found = _parse_write_reply(reply, key)
         if isinstance(found, store.Written):
             return dataclasses.replace(
                 found, version=self._make_version(found.version)
@@ -422,10 +424,11 @@
 
 
 def _parse_object(raw: msgspec.Raw) -> Object | None:
-    """Return an object, only its name if no more can be decoded, or None.
+    """Return an object, reduced to its name if the rest is malformed.
 
-    Other programs may write objects too.  A malformed one must not make its
-    whole page fail: all gateways would stop using all endpoints at once.
+    Returns ``None`` if the name is malformed too.  Other programs may write
+    objects too.  A malformed one must not make its whole page fail: all
+    gateways would stop using all endpoints at once.
     """
     try:
         return msgspec.json.decode(raw, type=Object)
@@ -441,7 +444,7 @@
     return Object(meta=Metadata(name=named.meta.name))
 
 
-def _parse_write(
+def _parse_write_reply(
     reply: Reply | Failure, key: store.Key
 ) -> store.Written | store.Conflict | store.Unavailable | store.Uncertain:
     if isinstance(reply, Failure):
--- a/marigoldramp/platform/pages.py
+++ b/marigoldramp/platform/pages.py
@@ -8,10 +8,10 @@
 
 READY_PATH = '/marigoldramp/ready'
 ADDRESSES_PATH = '/marigoldramp/resolve'
-#: In one response.
+#: Gateway addresses in one response.
 MAX_ADDRESSES = 64
-#: Time for which callers keep a response.  A shorter one costs more requests;
-#: with a longer one callers go on using a gateway that has stopped.
+#: Time for which callers keep a response.  A shorter time costs more requests;
+#: a longer one makes callers go on using a gateway that has stopped.
 DEFAULT_TTL_SECONDS = 1.0
 JSON_HEADERS = [(b'content-type', b'application/json')]
 
--- a/marigoldramp/platform/ranks.py
+++ b/marigoldramp/platform/ranks.py
@@ -13,18 +13,18 @@
 COUNTS_PATH = '/marigoldramp/picked'
 EXPERTS_PATH = '/marigoldramp/picked?Lists=1'
 ORDER_PATH = '/marigoldramp/order'
-#: A rank responds within milliseconds or not at all.  For an order, the time
-#: of its transfer is added; the group may be held while a rank does not
-#: respond to one.
+#: A rank responds within milliseconds or not at all.
 MAX_READ_SECONDS = 0.5
+#: Timeout of an order without the time of its transfer.  Short, as the group
+#: may be held while a rank does not respond to an order.
 MAX_SMALL_ORDER_SECONDS = 0.08
-#: On one core, requests to 72 ranks at once take longer than the timeout.
+#: On one core, 72 ranks cannot all be called at once within the timeout.
 MAX_CONCURRENT_REQUESTS = 12
-#: More than other requests: a map for 192 ranks has 25 KB and takes longer on
-#: the rank's link than on this instance's.
+#: Higher than the limit of other requests: a map for 192 ranks has 25 KB and
+#: takes longer on the rank's link than on this instance's link.
 MAX_CONCURRENT_MAPS = 32
 MIN_RANK_LINK_BYTES_PER_SECOND = 250_000.0
-#: For each rank.
+#: Connections kept open to each rank.
 MAX_IDLE_CONNECTIONS = 1
 _OPEN_STATE = 'open'
 TOKEN_OLD_STATUS = 412
@@ -42,7 +42,7 @@
 
 
 class _Armed(msgspec.Struct, kw_only=True, rename={'version': 'Version'}):
-    """A prepared map that takes effect when a step begins."""
+    """A prepared map that takes effect when ``step`` begins."""
 
     version: int
     step: int
@@ -59,9 +59,11 @@
 ):
     """State of a rank.
 
-    :ivar version: of the map in force; ``ExpertMap`` holds a version here,
-        and lists of experts elsewhere.
+    :ivar version: version of the map in force; ``ExpertMap`` holds a version
+        here, and lists of experts in other messages.
     :ivar prepared: version of the map whose experts are all copied, if any.
+    :ivar held: the step that does not begin before a release, if any.
+    :ivar pace: slowdown of the rank, as a multiple of its usual time.
     """
 
     group: _GroupState
--- a/marigoldramp/platform/settings_file.py
+++ b/marigoldramp/platform/settings_file.py
@@ -28,10 +28,10 @@
         'addresses': 'Directory',
     },
 ):
-    """Addresses as ``IP:PORT``; empty for what this process does not serve.
+    """Addresses as ``IP:PORT``, empty if the process does not serve them.
 
     :ivar calls: where callers connect.
-    :ivar readiness: where the platform asks whether we accept requests.
+    :ivar readiness: where the platform asks whether the gateway is ready.
     :ivar addresses: where callers ask for gateway addresses.
     """
 
@@ -53,10 +53,10 @@
     """Resources that the process may use.
 
     :ivar descriptors: sockets that it may open.
-    :ivar core_share: part of one core.
+    :ivar core_share: share of one core.
     :ivar core_speed: speed of that core as a multiple of a standard core's;
         ``CpuCores`` is not a number of cores.
-    :ivar link_megabits: bandwidth of the instance's link, per second.
+    :ivar link_megabits: megabits per second of the instance's link.
     """
 
     descriptors: int = 1024
@@ -83,15 +83,17 @@
 ):
     """Bounds that the operator sets for the whole deployment.
 
-    :ivar drain_ms: within which a leaving endpoint must get no new requests.
-    :ivar grace_s: between the request to stop and the forced stop.
-    :ivar apply_ms: within which a new configuration must be in force.
-    :ivar revoke_ms: after which a removed key must no longer work.
+    :ivar drain_ms: time within which a leaving endpoint must stop getting new
+        requests.
+    :ivar grace_s: time between the request to stop and the forced stop.
+    :ivar apply_ms: time within which a new configuration must be in force.
+    :ivar revoke_ms: time after which a removed key must no longer work.
     :ivar retry_ratio: retries as a share of the requests of a window.
-    :ivar retry_extra: retries allowed besides in each window.
+    :ivar retry_extra: retries allowed in each window beyond that share.
     :ivar fenced: endpoints check the fencing tokens of orders.
-    :ivar longest_addresses_s: for which callers may keep an address answer.
-    :ivar stall_ms: for which a group of ranks waits for a dead rank.
+    :ivar longest_addresses_s: time for which callers may keep the addresses
+        of gateways.
+    :ivar stall_ms: time for which a group of ranks waits for a dead rank.
     """
 
     drain_ms: float = 2000.0
@@ -182,7 +184,7 @@
     """
     host, colon, port = text.rpartition(':')
     if not colon or not host or not port.isdigit():
-        raise ValueError(f'{text!r} is not of the form IP:PORT')
+        raise ValueError(f'{text!r} is not an address and a port')
     return settings.Address(host=host, port=int(port))
 
 
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -46,7 +46,7 @@
 
 
 async def read_before_and_after_restore(object_store):
-    """Read an object of era 1, then a response of the next era."""
+    """Read an object before and after a restore; return the first result."""
     found = await object_store.read(key=KEY)
     assert found.version == version(1, 5)
     await object_store.read(key=KEY)
@@ -114,10 +114,10 @@
     ],
 )
 async def test_watch_ends_after_a_restore(answer):
-    """Guards against missing what a restore has undone.
+    """Guards against a gateway that misses undone changes and sees no gap.
 
     Sequence: a gateway watches from revision 7.  The restored store has
-    reached 8 again by other changes, and returns those as the next ones.
+    reached 8 again by other changes, and returns them as the next ones.
     """
     object_store, client = platform.make_store(
         reply_in_era(1, 200, {'Items': [], 'AtRev': 7}), answer, answer
--- a/tests/adapter/test_platform.py
+++ b/tests/adapter/test_platform.py
@@ -301,7 +301,7 @@
 
 
 class FakeClient:
-    """Object API client that returns prepared replies in order."""
+    """Client of the store that returns prepared replies in order."""
 
     def __init__(self, *replies):
         self.replies = list(replies)
@@ -504,7 +504,8 @@
 
     Sequence: another program writes an object among the endpoints that lacks
     a field, has a field of the wrong type, or is not an object at all.
-    Cause: the list was decoded as a whole, and an unknown state as ready.
+    Cause: the list was decoded as a whole, and an unknown state was taken for
+    ready.
     """
     page = {'Items': [invalid, make_endpoint_object('i-2')], 'AtRev': 3}
     events = {
@@ -587,11 +588,11 @@
         names.update(re.findall(r"'([A-Z][A-Za-z]+)'", text))
         names.update(re.findall(r"b'([a-z]+-[a-z-]+)'", text))
     common = {name.lower() for name in COMMON_HEADERS}
-    usual = {'content-type', 'content-length', 'content-encoding'}
+    content_headers = {'content-type', 'content-length', 'content-encoding'}
     return {
         name
         for name in names
-        if name.lower() not in common | usual
+        if name.lower() not in common | content_headers
         and (re.search(r'[a-z][A-Z]|-', name))
     }
 
--- a/tests/adapter/test_ranks.py
+++ b/tests/adapter/test_ranks.py
@@ -28,7 +28,7 @@
 
 
 async def call_rank(call, *scripts):
-    """Call a fake rank that replies by scripts; return result and requests."""
+    """Call a scripted fake rank; return the result and its requests."""
     one = fake.FakeEndpoint(identity='i-1', scripts=scripts)
     async with one.serve():
         address = outbound.Address(host=fake.HOST, port=one.port)
