--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request is taken, and on whose account."""
+"""Authenticates a request and decides whether it is admitted."""
 
 import random as random_module
 from typing import Callable
@@ -13,25 +13,25 @@
 from . import inbound
 from . import routes
 
-#: Part of the time after which a removed key must not work that is kept as a
-#: margin, for clocks that run at different rates.
-REVOKE_MARGIN = 0.1
-#: Age of the last confirmation, in seconds, up to which an unknown route or
-#: key is taken as unknown to the newest configuration as well.
-FRESH_SECONDS = 1.8
-#: Seconds after which a caller is to come back while our configuration is
-#: not known to be the newest.
-COME_BACK = 0.5
+#: Share of the key revocation time that is kept as a margin for clocks that
+#: run at different rates.
+REVOKE_MARGIN_RATIO = 0.1
+#: Seconds since our configuration was confirmed as the newest, up to which an
+#: unknown route or key is reported as unknown.
+MAX_CONFIRMED_AGE_SECONDS = 1.8
+#: Retry delay for callers while our configuration may be outdated.
+RETRY_AFTER_SECONDS = 0.5
 
 NotRun = outcomes.NotRun
 Reason = outcomes.Reason
 
 
 class Admission:
-    """Admits requests by the configuration in force.
+    """Admits requests according to the current configuration.
 
-    :param revoke_seconds: returns after how long a removed key must not
-        work any more.
+    :param held: the configurations that this gateway holds.
+    :param revoke_seconds: returns the seconds after which a removed key must
+        no longer work.
     """
 
     __slots__ = (
@@ -40,7 +40,7 @@
         '_revoke_seconds',
         '_clock',
         '_random',
-        '_stated',
+        '_stated_timeouts',
     )
 
     def __init__(
@@ -57,20 +57,20 @@
         self._revoke_seconds = revoke_seconds
         self._clock = clock
         self._random = random
-        self._stated = call_deadlines.StatedTimeouts(clock=clock)
+        self._stated_timeouts = call_deadlines.StatedTimeouts(clock=clock)
 
     def trusts_keys(self) -> bool:
-        """Whether keys may be believed that the configuration holds."""
-        longest = self._revoke_seconds() * (1.0 - REVOKE_MARGIN)
-        return self.version_age() < longest
+        """Whether the configuration is recent enough to check keys."""
+        max_age = self._revoke_seconds() * (1.0 - REVOKE_MARGIN_RATIO)
+        return self.version_age() < max_age
 
     @property
     def version(self) -> int:
-        """The configuration in force, 0 for none."""
+        """Version of the current configuration, 0 for none."""
         return self._configuration.version
 
     async def admit(self, exchange: inbound.Exchange) -> calls.Call | NotRun:
-        """Return the call, its body read, or why it is refused."""
+        """Read the body; return the call, or why it is refused."""
         head = exchange.head
         try:
             facts = self._codec.read_request(head.headers)
@@ -82,11 +82,11 @@
             return NotRun(
                 reason=Reason.NO_BUNDLE,
                 detail='no configuration is known yet',
-                retry_after=COME_BACK,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         route = self._configuration.routes.find(host=head.host, path=head.path)
         if route is None:
-            return self._unknown(
+            return self._refuse_unknown(
                 Reason.UNKNOWN_ROUTE, 'no route has this host and path'
             )
         customer = self._identify(config, route, facts)
@@ -101,7 +101,7 @@
             seconds=deadline - self._clock(),
         )
         if isinstance(body, inbound.BodyFault):
-            return _describe_fault(body)
+            return _refuse_body(body)
         priority = route.priority
         if customer is not None and customer.priority is not None:
             priority = customer.priority
@@ -115,10 +115,12 @@
             body=body,
             deadline=deadline,
             first_asked_at=deadline
-            - self._stated.find_longest(route=route.name, stated=seconds),
+            - self._stated_timeouts.find_longest(
+                route=route.name, stated=seconds
+            ),
             last_event=facts.last_event,
             fingerprint=fingerprints.find_fingerprint(
-                head=head, customer=_name_holder(config, facts), body=body
+                head=head, customer=_find_key_holder(config, facts), body=body
             ),
             version=config.version,
             version_age=self.version_age(),
@@ -130,7 +132,7 @@
         route: deployment.Route,
         facts: codecs.RequestFacts,
     ) -> deployment.Customer | NotRun | None:
-        """Return whose key the request carries, ``None`` for nobody's."""
+        """Return the customer that sent the request, ``None`` if anonymous."""
         if not config.requires_keys:
             return None
         customer = config.customers.get(facts.key) if facts.key else None
@@ -141,48 +143,49 @@
             return NotRun(
                 reason=Reason.STORE_AWAY,
                 detail='keys cannot be checked at the moment',
-                retry_after=COME_BACK,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         if customer is not None:
             return customer
         if not facts.key:
-            return self._unknown(
+            return self._refuse_unknown(
                 Reason.NO_KEY, 'send your key as "Authorization: Bearer KEY"'
             )
-        return self._unknown(Reason.UNKNOWN_KEY, 'the key is not known')
+        return self._refuse_unknown(Reason.UNKNOWN_KEY, 'the key is not known')
 
-    def _unknown(self, reason: Reason, detail: str) -> NotRun:
-        """Refuse what the newest configuration does not know.
+    def _refuse_unknown(self, reason: Reason, detail: str) -> NotRun:
+        """Refuse a request whose route or key is unknown.
 
-        Ours may have been overtaken; a caller told "unknown" never comes
-        back, though its route or key is there.
+        While our configuration may be outdated, ask the caller to retry: a
+        caller that is told "unknown" does not, though a newer configuration
+        may have its route or key.
         """
-        if self.version_age() <= FRESH_SECONDS:
+        if self.version_age() <= MAX_CONFIRMED_AGE_SECONDS:
             return NotRun(reason=reason, detail=detail)
         return NotRun(
             reason=Reason.STORE_AWAY,
             detail='the configuration may have been overtaken',
-            retry_after=COME_BACK,
+            retry_after=RETRY_AFTER_SECONDS,
         )
 
     def version_age(self) -> float:
-        """Return the seconds since our version was known to be the newest."""
+        """Return the seconds since our version was confirmed as newest."""
         return self._clock() - self._configuration.confirmed_at
 
 
-def _name_holder(
+def _find_key_holder(
     config: deployment.Configuration, facts: codecs.RequestFacts
 ) -> str:
-    """Return whose key a request carries, whether or not it is believed.
+    """Return the customer whose key a request carries, trusted or not.
 
-    On public routes a caller is nobody while keys cannot be checked; its
-    requests are the same all the while.
+    On public routes a caller counts as anonymous while keys cannot be
+    checked.  The fingerprints of its requests must not change with that.
     """
     holder = config.customers.get(facts.key)
     return '' if holder is None else holder.name
 
 
-def _describe_fault(fault: inbound.BodyFault) -> NotRun:
+def _refuse_body(fault: inbound.BodyFault) -> NotRun:
     match fault:
         case inbound.BodyFault.TOO_LARGE:
             return NotRun(
--- a/marigoldramp/gateway/call_cancellations.py
+++ b/marigoldramp/gateway/call_cancellations.py
@@ -1,8 +1,8 @@
-"""Takes back requests that are on their way when they become blocked.
+"""Cancels requests that are already being served when they become blocked.
 
-Copies of one request can wait for a place here, or in an endpoint's own queue,
-when the second endpoint ends under it.  Each would end another one as soon as
-it is begun.
+A request is blocked when a second endpoint process ends while running it.
+Copies of it may then be waiting for a slot here or in an endpoint's own queue,
+and each would end another endpoint as soon as it starts.
 """
 
 import contextlib
@@ -14,39 +14,40 @@
 
 
 class CallCancellations:
-    """The requests that are being served, by fingerprint."""
+    """Cancel scopes of the requests being served, by fingerprint."""
 
     __slots__ = ('_calls',)
 
     def __init__(self) -> None:
-        self._calls: dict[str, dict[int, _Held]] = {}
+        self._calls: dict[str, dict[int, _TrackedCall]] = {}
 
     @contextlib.contextmanager
     def track(self, call: calls.Call) -> Iterator[anyio.CancelScope]:
-        """Serve a call in a scope that is cancelled when it is taken back."""
-        held = self._calls.setdefault(call.fingerprint, {})
+        """Serve a call in a scope that :meth:`cancel` cancels."""
+        tracked = self._calls.setdefault(call.fingerprint, {})
         key = id(call)
         with anyio.CancelScope() as scope:
-            held[key] = _Held(call=call, scope=scope)
+            tracked[key] = _TrackedCall(call=call, scope=scope)
             try:
                 yield scope
             finally:
-                del held[key]
-                if not held:
+                del tracked[key]
+                if not tracked:
                     self._calls.pop(call.fingerprint, None)
 
     def cancel(self, fingerprint: str) -> None:
-        """Take back all requests with a fingerprint that have no answer yet.
+        """Cancel all requests with a fingerprint that have no response yet.
 
-        An answer that has been begun is not cut off: an endpoint makes it.
+        A response that has begun is not cut off, as an endpoint is already
+        producing it.
         """
-        for held in self._calls.get(fingerprint, {}).values():
-            if not held.call.exchange.begun:
-                held.scope.cancel()
+        for tracked in self._calls.get(fingerprint, {}).values():
+            if not tracked.call.exchange.begun:
+                tracked.scope.cancel()
 
 
-class _Held:
-    """A call and the scope in which it is served."""
+class _TrackedCall:
+    """A call and the cancel scope in which it is served."""
 
     __slots__ = ('call', 'scope')
 
--- a/marigoldramp/gateway/calls.py
+++ b/marigoldramp/gateway/calls.py
@@ -1,4 +1,4 @@
-"""One request of a caller: what it is, and what has become of it so far."""
+"""An admitted request and its progress."""
 
 import dataclasses
 
@@ -11,22 +11,23 @@
 class Call:
     """A request that was admitted.
 
-    :ivar service: the service that the route's weights have given it.
+    :ivar service: the service picked by the weights of the route.
     :ivar customer: name of the customer, empty for none.
-    :ivar fingerprint: what it shares with requests of the same caller and
-        content, see :mod:`.fingerprints`.
+    :ivar fingerprint: equal for requests of the same customer and content,
+        see :mod:`.fingerprints`.
     :ivar priority: 0 is the most urgent.
-    :ivar deadline: when the caller must have its final answer.
-    :ivar asked: when the caller first asked for it, as far as the time that
-        it states tells.
-    :ivar last_event: the last event that the caller has.
+    :ivar deadline: when the caller must have its final response.
+    :ivar first_asked_at: when the caller made its first attempt, estimated
+        from the remaining time that it states.
+    :ivar last_event: identifier of the last event that the caller has.
     :ivar version: configuration by which it was admitted.
-    :ivar version_age: seconds since that was known to be the newest.
-    :ivar sends: how often it went out to an endpoint.
+    :ivar version_age: seconds since that version was confirmed as newest, at
+        admission.
+    :ivar sends: how often it was sent to an endpoint.
     :ivar runs: how often it may have run.
-    :ivar tried: endpoints that it is not sent to again.
-    :ivar endpoint: the endpoint that had it last.
-    :ivar waited: seconds spent waiting for places.
+    :ivar excluded_endpoints: endpoints that it is not sent to again.
+    :ivar endpoint: the endpoint that it was last sent to.
+    :ivar waited: seconds spent waiting for slots.
     :ivar first_event: seconds until the first event was passed on, 0 for
         none yet.
     :ivar longest_pause: longest time between two events, in seconds.
@@ -52,24 +53,27 @@
     waited: float = 0.0
     first_event: float = 0.0
     longest_pause: float = 0.0
-    _event_at: float = 0.0
+    _last_event_at: float = 0.0
 
     @property
     def arrived(self) -> float:
-        """When the request's head was whole."""
+        """When the head of the request was complete."""
         return self.exchange.head.arrived
 
     def avoid(self, identity: str) -> None:
-        """Do not send it to this endpoint again."""
+        """Exclude an endpoint from further attempts."""
         self.excluded_endpoints |= {identity}
 
     def note_event(self, *, now: float) -> float:
-        """Note that events are passed on; return the pause before them."""
+        """Note that events are passed on; return the pause before them.
+
+        Return 0 for the first events.
+        """
         pause = 0.0
-        if not self._event_at:
+        if not self._last_event_at:
             self.first_event = now - self.arrived
         else:
-            pause = now - self._event_at
+            pause = now - self._last_event_at
             self.longest_pause = max(self.longest_pause, pause)
-        self._event_at = now
+        self._last_event_at = now
         return pause
--- a/marigoldramp/gateway/circuit_breakers.py
+++ b/marigoldramp/gateway/circuit_breakers.py
@@ -1,10 +1,11 @@
-"""Holds requests back from a service that runs none.
+"""Holds requests in the queue while a service runs none.
 
-When a group of ranks breaks, every endpoint of the service declines whatever
-comes.  Requests that go on trying would use up the budget of repeats within
-a second, and be refused though the group forms anew well within their time.
-While a gate is shut they wait, and single ones are let through as a trial;
-those that were never sent go first, as their sends count as no repeats.
+When a group of ranks breaks, every endpoint of the service declines all
+requests.  Requests that kept trying would use up the retry budget within a
+second, and be refused though the group forms again well before their
+deadlines.  While the circuit breaker is tripped they wait, and single requests
+are let through as a trial.  Requests that were never sent are tried more
+often, as their first send does not count as a retry.
 """
 
 from typing import Callable
@@ -13,63 +14,77 @@
 
 from .. import logs
 
-#: Failures in a row, over all endpoints of a service, that shut its gate.
-SHUT_AFTER = 3
-#: Seconds between two trials by a request that was never sent, and by one
-#: that was, as only the latter spends the budget of repeats.
-TRIAL_EVERY = 0.15
-REPEATED_TRIAL_EVERY = 0.6
+#: Consecutive failures of the endpoints of a service that trip its breaker.
+MAX_FAILURES = 3
+#: Seconds before the next trial by a request that was never sent, and by one
+#: that was, as only the latter spends the retry budget.
+TRIAL_INTERVAL_SECONDS = 0.15
+REPEATED_TRIAL_INTERVAL_SECONDS = 0.6
 
 
 class CircuitBreaker:
-    """The gate of one service at one entry."""
+    """Circuit breaker of one service in this gateway process.
 
-    __slots__ = ('_service', '_clock', '_failures', '_shut_at', '_tried_at')
+    It is logged as a gate: "gate shut" when it trips, "gate opened" when
+    requests pass again.
+    """
+
+    __slots__ = (
+        '_service',
+        '_clock',
+        '_failures',
+        '_tripped_at',
+        '_last_trial_at',
+    )
 
     def __init__(self, *, service: str, clock: Callable[[], float]) -> None:
         self._service = service
         self._clock = clock
         self._failures = 0
-        self._shut_at = 0.0
-        self._tried_at = float('-inf')
+        self._tripped_at = 0.0
+        self._last_trial_at = float('-inf')
 
     @property
     def is_tripped(self) -> bool:
-        """Whether requests wait."""
-        return self._failures >= SHUT_AFTER
+        """Whether requests are held back."""
+        return self._failures >= MAX_FAILURES
 
     def note_failure(self) -> None:
-        """An endpoint of the service has run nothing."""
+        """Note that an endpoint of the service did not run a request."""
         self._failures += 1
-        if self._failures == SHUT_AFTER:
-            self._shut_at = self._clock()
-            self._tried_at = self._clock()
+        if self._failures == MAX_FAILURES:
+            self._tripped_at = self._clock()
+            self._last_trial_at = self._clock()
             logging.info('gate shut', extra=logs.fields(service=self._service))
 
     def note_success(self) -> None:
-        """An endpoint of the service has begun to answer."""
+        """Note that an endpoint of the service has begun to respond."""
         if self.is_tripped:
             logging.info(
                 'gate opened',
                 extra=logs.fields(
                     service=self._service,
-                    seconds=round(self._clock() - self._shut_at, 3),
+                    seconds=round(self._clock() - self._tripped_at, 3),
                 ),
             )
         self._failures = 0
 
     def allows(self, *, repeated: bool) -> bool:
-        """Whether a request may go now; one that may is taken as a trial.
+        """Whether a request may be sent now, if need be as a trial.
 
         :param repeated: the request was sent before.
         """
         if not self.is_tripped:
             return True
         now = self._clock()
-        pause = REPEATED_TRIAL_EVERY if repeated else TRIAL_EVERY
-        return now - self._tried_at >= pause
+        interval = (
+            REPEATED_TRIAL_INTERVAL_SECONDS
+            if repeated
+            else TRIAL_INTERVAL_SECONDS
+        )
+        return now - self._last_trial_at >= interval
 
     def note_trial(self) -> None:
-        """A request goes through."""
+        """Note that a request is sent; while tripped it is a trial."""
         if self.is_tripped:
-            self._tried_at = self._clock()
+            self._last_trial_at = self._clock()
--- a/marigoldramp/gateway/codecs.py
+++ b/marigoldramp/gateway/codecs.py
@@ -1,7 +1,7 @@
-"""What headers say, in the project's own words.
+"""Interface between a deployment's headers and the gateway.
 
-The codec of a deployment knows the names of headers; everything else works
-with the types here.
+Only a deployment's codec knows the names of headers.  The rest of the gateway
+works with the types defined here.
 """
 
 import abc
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class RequestFacts:
-    """What a request's headers say.
+    """Values from the headers of a caller's request.
 
-    :ivar attempt_id: identifier of this attempt of the caller's.
-    :ivar seconds: time that the caller waits; ``None`` if it does not say.
+    :ivar attempt_id: identifier of this attempt, set by the caller.
+    :ivar seconds: how long the caller waits; ``None`` if it is not stated.
     :ivar key: the customer's key, empty without one.
     :ivar last_event: identifier of the last event that the caller has.
-    :ivar prompt_tokens: size of the prompt, 0 if not told.
-    :ivar answer_tokens: most tokens of the answer, 0 if not told.
+    :ivar prompt_tokens: tokens of the prompt, 0 if not stated.
+    :ivar answer_tokens: maximum tokens of the response, 0 if not stated.
     """
 
     attempt_id: str
@@ -34,12 +34,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class OutgoingFacts:
-    """What is told to the endpoint beside the caller's own headers.
+    """Values for headers that the gateway adds to a forwarded request.
 
-    :ivar seconds: time that is left for this attempt.
+    :ivar seconds: remaining time of this attempt.
     :ivar identity: the only endpoint that may run the request.
-    :ivar customer: whose key the request carried, empty for none.
-    :ivar last_event: from where on a stream is wanted, empty for its start.
+    :ivar customer: name of the authenticated customer, empty for none.
+    :ivar last_event: identifier of the event after which the stream must
+        continue, empty for its start.
     """
 
     seconds: float
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class ReportedLoad:
-    """What an endpoint says of its load when it answers."""
+    """Load that an endpoint reports in a response."""
 
     running: int
     waiting: int
@@ -59,15 +60,15 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class AnswerFacts:
-    """What the head of an endpoint's answer says.
+    """Values from the head of an endpoint's response.
 
-    :ivar attempt_id: identifier of the request that it answers.
-    :ivar signed: it bears the endpoint's signature.
+    :ivar attempt_id: identifier of the attempt that it responds to.
+    :ivar signed: it has the endpoint's signature.
     :ivar not_run: the endpoint did not run the request and never will.
-    :ivar has_unrequested_encoding: the request did not ask for the encoding of
-        the body.
+    :ivar has_unrequested_encoding: the request did not ask for the encoding
+        of the body.
     :ivar leaving: the endpoint is shutting down.
-    :ivar retry_after: seconds that an unavailable endpoint asks this entry
+    :ivar retry_after: seconds that an unavailable endpoint asks the gateway
         to wait before it sends another request; 0 if not specified.
     """
 
@@ -81,21 +82,21 @@
 
 
 class Codec(abc.ABC):
-    """Translates headers of requests and answers."""
+    """Translates headers of requests and responses."""
 
     @abc.abstractmethod
     def read_request(self, headers: Headers) -> RequestFacts:
-        """Return what a request's headers say.
+        """Return the values from the headers of a caller's request.
 
-        :raises ValueError: a header that must be a number is none.
+        :raises ValueError: a numeric header is not a number.
         """
 
     @abc.abstractmethod
     def write_request(
         self, headers: Headers, outgoing: OutgoingFacts
     ) -> Headers:
-        """Return the headers with which a request goes to an endpoint."""
+        """Return the headers of a request as sent to an endpoint."""
 
     @abc.abstractmethod
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what the head of an endpoint's answer says."""
+        """Return the values from the head of an endpoint's response."""
--- a/marigoldramp/gateway/concurrency_limits.py
+++ b/marigoldramp/gateway/concurrency_limits.py
@@ -1,14 +1,14 @@
-"""How many requests a group runs at once without pauses that are too long.
+"""Limits the concurrency of a group so that its streams do not pause too long.
 
-All ranks of a group make each pass together, and a pass takes longer the
-more requests run.  One pass that takes just longer than the longest pause
-that callers accept makes *every* stream in flight late.  A little room keeps
-all of them in time, at the price of a longer queue.
+All ranks of an expert-parallel group run each forward pass together, and a
+pass takes longer the more requests run.  One pass that exceeds the longest
+pause that callers accept makes *every* stream in flight late.  Running a few
+requests less keeps all of them in time, at the price of a longer queue.
 
-The room must do for the longest passes: those after a shift of demand, while
-the map is uneven and experts are copied.  A limit that follows most passes
-goes up while the group is even and comes down only when a shift has already
-made all streams late.
+The limit must suit the longest passes: those after a shift of expert demand,
+while the load of the ranks is imbalanced and experts are copied.  A limit that
+follows the typical pass rises while the load is balanced and falls only after
+a shift has already made all streams late.
 """
 
 import collections
@@ -18,69 +18,70 @@
 from . import deployment
 from . import pass_times
 
-#: Part of the longest accepted pause that a pass may take; the rest is for
-#: the way to the caller.
-FULL_SHARE = 0.97
-#: Seconds of passes by which the limit is found: some shifts of demand, which
-#: were seen each 2 to 4 s.
-HORIZON = 10.0
-#: Part of these passes that may be longer: one in a hundred, as one entry may
-#: have been late to look.  With one in 25 it was the pass in which experts
-#: are copied, and two of three streams were late by it.
-LONGER_PART = 0.015
-#: Least part of the slots that is used whatever the pauses are.
-LEAST_SHARE = 0.6
-#: Longest part of the accepted pause that counts: a group that stands for a
-#: change of its map or a dead rank does not say how much it can run.
-STALLED_SHARE = 2.0
-#: Seconds for which nothing is learned after a pass that no limit would have
-#: brought in time; some such passes.
-USELESS_SECONDS = 1.0
-#: Skew that a shift of demand leaves in a group of some ranks, 2.5 to 3.3 in
-#: those seen, and by how much passes are longer for the copies after it and
-#: for prompts.  Only by these a process knows how much it can run until its
-#: group has been through a shift; without them all streams of the first five
-#: seconds were late, also after a power loss of all entries.
+#: Share of the accepted pause that a pass may take; the rest covers the
+#: transfer to the caller.
+MAX_PASS_SHARE = 0.97
+#: Passes of the last seconds that determine the limit: a few shifts of expert
+#: demand, which occur every 2 to 4 s.
+HORIZON_SECONDS = 10.0
+#: Share of these passes that may be too long: one in a hundred, as a gateway
+#: process may read an event late.  One in 25 admits the pass during which
+#: experts are copied, which makes two of three streams late.
+LONGER_PASS_SHARE = 0.015
+#: Share of the slots that is used however long the pauses are.
+MIN_SLOT_SHARE = 0.6
+#: Longest pause that counts, in accepted pauses.  A group that stops for a
+#: change of its expert map or a dead rank does not show its capacity.
+MAX_PAUSE_RATIO = 2.0
+#: Seconds for which passes are ignored after one that no limit would have kept
+#: within the accepted pause; the length of a few such passes.
+IGNORE_SECONDS = 1.0
+#: Load skew of a group after a shift of expert demand (measured: 2.5 to 3.3),
+#: and the factors by which copying experts and reading prompts lengthen a
+#: pass.  They give the limit until the group has been through a shift.
+#: Without them all streams of the first five seconds are late, also after a
+#: power loss of all gateways.
 SHIFT_SKEW = 3.0
 COPYING_FACTOR = 1.15
 PROMPTS_FACTOR = 1.15
-#: Seconds that requests add to a pass at the least.
-LEAST_SECONDS = 0.001
-#: Weight of the newest pause in the mean.
-SMOOTHING = 0.02
+#: Lower bound of the seconds that requests add to a pass.
+MIN_ADDED_SECONDS = 0.001
+#: Weight of the newest pause in the exponential moving average.
+SMOOTHING_WEIGHT = 0.02
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Room:
-    """How many requests an endpoint may run on average, as one pass shows."""
+class _PassLimit:
+    """Mean requests per endpoint that would have filled one pass."""
 
     at: float
     requests: float
 
 
 class ConcurrencyLimiter:
-    """The limit of one service, as one entry sees its passes.
-
-    :param running: returns how many requests an endpoint runs on average.
-    :param engine: returns the published figures of its engines, if there are.
-    :param accepted: returns the longest pause that callers accept, 0 if none
-        is known; for the time before the first pass.
-    :ivar pause_ratio: smoothed pauses, as a part of the accepted ones.
-    :ivar pass_times: how long the passes of its group last.
+    """Concurrency limit of one service, from the passes of its group.
+
+    :param running: returns the mean number of requests that an endpoint runs.
+    :param engine: returns the published performance figures of its engines,
+        ``None`` if there are none.
+    :param accepted_pause: returns the longest pause that callers accept, 0 if
+        none is known; used before the first pass.
+    :ivar pause_ratio: moving average of the pauses, in accepted pauses.
+    :ivar pass_times: recent pass times of its group.
     """
 
     __slots__ = (
         '_clock',
         '_running',
         '_engine',
-        '_find_accepted',
-        '_accepted',
+        '_read_accepted_pause',
+        '_accepted_pause',
         '_slots',
-        '_rooms',
-        '_room',
-        '_pass_at',
-        '_first_at',
-        '_useless_until',
+        '_pass_limits',
+        '_current_limit',
+        '_last_pass_at',
+        '_first_pass_at',
+        '_ignore_until',
         'pause_ratio',
         'pass_times',
     )
@@ -96,106 +97,112 @@
         self._clock = clock
         self._running = running
         self._engine = engine
-        self._find_accepted = accepted_pause
-        self._accepted = 0.0
+        self._read_accepted_pause = accepted_pause
+        self._accepted_pause = 0.0
         self._slots = 0.0
-        self._rooms: collections.deque[_Room] = collections.deque()
-        self._room = float('inf')
-        self._pass_at = float('-inf')
-        self._first_at = float('inf')
-        self._useless_until = float('-inf')
+        self._pass_limits: collections.deque[_PassLimit] = collections.deque()
+        self._current_limit = float('inf')
+        self._last_pass_at = float('-inf')
+        self._first_pass_at = float('inf')
+        self._ignore_until = float('-inf')
         self.pause_ratio = 0.0
         self.pass_times = pass_times.PassTimes(
-            clock=clock, running=running, base=self._find_base
+            clock=clock, running=running, empty_pass=self._empty_pass_seconds
         )
 
     def limit(self, slots: float) -> float:
-        """Return how many requests one endpoint may run on average."""
+        """Return the mean number of requests that an endpoint may run."""
         self._slots = slots
-        if not self._accepted:
-            self._expect()
-        return min(slots, max(self._room, LEAST_SHARE * slots))
+        if not self._accepted_pause:
+            self._estimate_initial_limit()
+        return min(slots, max(self._current_limit, MIN_SLOT_SHARE * slots))
 
     def note_pause(self, *, seconds: float, accepted_pause: float) -> None:
-        """Learn of the time between two events of one stream."""
+        """Record the time between two events of a stream."""
         self.pass_times.note_local(seconds)
         if accepted_pause <= 0.0:
             return
-        self._accepted = accepted_pause
-        if seconds <= STALLED_SHARE * accepted_pause:
-            self.pause_ratio += SMOOTHING * (
+        self._accepted_pause = accepted_pause
+        if seconds <= MAX_PAUSE_RATIO * accepted_pause:
+            self.pause_ratio += SMOOTHING_WEIGHT * (
                 seconds / accepted_pause - self.pause_ratio
             )
         self._note_pass(seconds)
 
     def note_reported(self, seconds: float) -> None:
-        """Learn of a pass that a stream has shown at a peer."""
+        """Record a pass time that a peer reports."""
         self.pass_times.note_reported(seconds)
         self._note_pass(seconds)
 
-    def _expect(self) -> None:
-        """Find the limit before there was a pass.
+    def _estimate_initial_limit(self) -> None:
+        """Set the limit before the first pass.
 
-        After a power loss of all entries their callers come back within half
-        a second, and fill all slots before the first pass is seen.
+        After a power loss of all gateways, callers reconnect within half a
+        second and fill all slots before the first pass is observed.
         """
-        self._accepted = self._find_accepted()
-        if self._accepted:
-            self._room = self._expect_room()
+        self._accepted_pause = self._read_accepted_pause()
+        if self._accepted_pause:
+            self._current_limit = self._estimate_limit()
 
     def _note_pass(self, seconds: float) -> None:
-        """Find the limit anew, by one more pass."""
+        """Update the limit with one more pass."""
         now = self._clock()
-        if now - self._pass_at < pass_times.SAME_PASS * seconds:
+        if now - self._last_pass_at < pass_times.SAME_PASS_SHARE * seconds:
             return
-        accepted_pause = self._accepted
-        if accepted_pause <= 0.0 or seconds > STALLED_SHARE * accepted_pause:
+        accepted_pause = self._accepted_pause
+        if accepted_pause <= 0.0 or seconds > MAX_PAUSE_RATIO * accepted_pause:
             return
-        self._pass_at = now
-        self._first_at = min(self._first_at, now)
-        room = self._find_room(seconds)
-        if room < LEAST_SHARE * self._slots:
-            # Held to the least limit, or to what passes before this one have
-            # shown, a group with a slow rank is still late, and has a queue
-            # of some seconds once its rank is well.
-            self._rooms.clear()
-            self._useless_until = now + USELESS_SECONDS
-        if now < self._useless_until:
-            room = float('inf')
-        self._rooms.append(_Room(at=now, requests=room))
-        while now - self._rooms[0].at > HORIZON:
-            self._rooms.popleft()
-        rooms = sorted(one.requests for one in self._rooms)
-        self._room = rooms[int(LONGER_PART * len(rooms))]
-        if now - self._first_at < HORIZON:
-            self._room = min(self._room, self._expect_room())
-
-    def _find_room(self, seconds: float) -> float:
+        self._last_pass_at = now
+        self._first_pass_at = min(self._first_pass_at, now)
+        limit = self._find_pass_limit(seconds)
+        if limit < MIN_SLOT_SHARE * self._slots:
+            # At the minimum limit, or at the limit of earlier passes, a group
+            # with a slow rank is still late, and has a queue of several
+            # seconds once the rank has recovered.
+            self._pass_limits.clear()
+            self._ignore_until = now + IGNORE_SECONDS
+        if now < self._ignore_until:
+            limit = float('inf')
+        self._pass_limits.append(_PassLimit(at=now, requests=limit))
+        while now - self._pass_limits[0].at > HORIZON_SECONDS:
+            self._pass_limits.popleft()
+        limits = sorted(one.requests for one in self._pass_limits)
+        self._current_limit = limits[int(LONGER_PASS_SHARE * len(limits))]
+        if now - self._first_pass_at < HORIZON_SECONDS:
+            self._current_limit = min(
+                self._current_limit, self._estimate_limit()
+            )
+
+    def _find_pass_limit(self, seconds: float) -> float:
         """Return how many requests would have filled a pass.
 
-        What it takes beyond an empty pass grows with the requests.  Few
-        requests tell nothing of many: what is read for those that arrive is
-        most of such a pass then.
+        The time beyond that of an empty pass is proportional to the requests.
+        A pass with few requests does not show the limit, as most of it goes
+        into reading the prompts of new ones.
         """
-        full = FULL_SHARE * self._accepted
-        base = min(self._find_base(), full)
+        max_pass = MAX_PASS_SHARE * self._accepted_pause
+        empty_pass = min(self._empty_pass_seconds(), max_pass)
         running = self._running()
-        if seconds <= full and running < LEAST_SHARE * self._slots:
+        if seconds <= max_pass and running < MIN_SLOT_SHARE * self._slots:
             return float('inf')
-        return running * (full - base) / max(seconds - base, LEAST_SECONDS)
+        return (
+            running
+            * (max_pass - empty_pass)
+            / max(seconds - empty_pass, MIN_ADDED_SECONDS)
+        )
 
-    def _expect_room(self) -> float:
+    def _estimate_limit(self) -> float:
         """Return how many requests fill a pass after a shift of demand."""
         engine = self._engine()
         if engine is None or not engine.expert_share:
             return float('inf')
-        full = FULL_SHARE * self._accepted / COPYING_FACTOR
-        uneven = 1.0 + engine.expert_share * (SHIFT_SKEW - 1.0)
-        a_request = engine.stride * engine.step_per_request * uneven
-        left = max(0.0, full - self._find_base())
-        return left / max(PROMPTS_FACTOR * a_request, LEAST_SECONDS)
-
-    def _find_base(self) -> float:
-        """Return the seconds of a pass without any request."""
+        max_pass = MAX_PASS_SHARE * self._accepted_pause / COPYING_FACTOR
+        imbalance = 1.0 + engine.expert_share * (SHIFT_SKEW - 1.0)
+        per_request = engine.stride * engine.step_per_request * imbalance
+        available = max(0.0, max_pass - self._empty_pass_seconds())
+        return available / max(PROMPTS_FACTOR * per_request, MIN_ADDED_SECONDS)
+
+    def _empty_pass_seconds(self) -> float:
+        """Return the seconds of a pass without requests."""
         engine = self._engine()
         return 0.0 if engine is None else engine.step * engine.stride
--- a/marigoldramp/gateway/dependency_health.py
+++ b/marigoldramp/gateway/dependency_health.py
@@ -1,4 +1,4 @@
-"""Whether something that the process depends on answers it."""
+"""Tracks whether a dependency of the process, such as its store, responds."""
 
 from typing import Callable
 
@@ -6,31 +6,31 @@
 
 from .. import logs
 
-#: Times that the last entries wait as long as the first before they try again.
-MOST_RETRY_FACTOR = 5
+#: Longest retry delay of a gateway, in delays of the first one.
+MAX_RETRY_FACTOR = 5
 
 
 def scale_retry_delay(seconds: float, *, position: int) -> float:
-    """Return how long an entry waits before it tries the store again.
+    """Return how long a gateway waits before it tries the store again.
 
-    Each next entry waits once more as long as the first.  Calls that the store
-    turns away are paid for, too, and what one learns the others learn from it.
+    The delay grows with the position, as rejected calls to the store are
+    charged too, and gateways learn from each other what one of them reads.
 
-    :param seconds: for which the first entry waits.
-    :param position: our place among the entries that hear each other often, 0
-        for the first.
+    :param seconds: the delay of the first gateway.
+    :param position: our position among the gateways that exchange reports
+        often, 0 for the first.
     """
-    return seconds * min(MOST_RETRY_FACTOR, 1 + position)
+    return seconds * min(MAX_RETRY_FACTOR, 1 + position)
 
 
 class DependencyHealth:
-    """Notes answers and failures; logs when a dependency is lost or back.
+    """Tracks responses and failures; logs when a dependency is lost or back.
 
-    :param name: of the dependency, for the log.
-    :param use: what it is asked for.
-    :ivar reached: it answered last time.
-    :ivar reached_at: when it last answered.
-    :ivar failed_at: when it last failed to answer.
+    :param name: name of the dependency in the log.
+    :param use: what the dependency is used for.
+    :ivar reached: the last request was answered.
+    :ivar reached_at: time of the last response.
+    :ivar failed_at: time of the last failure.
     """
 
     __slots__ = (
@@ -53,7 +53,7 @@
         self.failed_at = float('-inf')
 
     def note_answer(self) -> bool:
-        """Note an answer; return whether it is the first after a failure."""
+        """Note a response; return whether it is the first after a failure."""
         self.reached_at = self._clock()
         if self.reached:
             return False
@@ -62,13 +62,14 @@
         return True
 
     def note_failure(self, detail: str) -> None:
-        """Note that no answer came."""
+        """Note that no response came."""
         self.failed_at = self._clock()
         if self.reached:
             self.reached = False
             self._log('lost', detail=detail)
 
-    def _log(self, what: str, **more: str | float) -> None:
+    def _log(self, event: str, **details: str | float) -> None:
         logging.info(
-            f'{self._name} {what}', extra=logs.fields(use=self._use, **more)
+            f'{self._name} {event}',
+            extra=logs.fields(use=self._use, **details),
         )
--- a/marigoldramp/gateway/dispatch.py
+++ b/marigoldramp/gateway/dispatch.py
@@ -1,8 +1,8 @@
-"""Gives requests a place at an endpoint, in order of urgency.
+"""Assigns requests to free endpoint slots in priority order.
 
-A request that finds no room waits here and not at an endpoint: here it can
-still go to whichever endpoint has room first, and can be refused as "not
-run" for certain.
+A request that finds no free slot is queued here and not at an endpoint.  It
+can then go to whichever endpoint frees a slot first, and a refusal can state
+with certainty that the request was not run.
 """
 
 import dataclasses
@@ -20,26 +20,27 @@
 from . import deployment
 from . import endpoints
 
-#: Requests that an endpoint without published slots is given at once.
-USUAL_SLOTS = 4
-#: Shortest time after which a refused caller is told to come back.
-LEAST_RETRY_AFTER = 0.1
-#: Maximum jitter in seconds added to the retry delay of refused callers.
+#: Concurrent requests on an endpoint that publishes no slot count.
+DEFAULT_SLOTS = 4
+#: Shortest retry delay that a refused caller is given.
+MIN_RETRY_AFTER_SECONDS = 0.1
+#: Maximum jitter added to the retry delay of refused callers.
 MAX_RETRY_JITTER_SECONDS = 0.5
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class SlotRequest:
-    """A request for a place.
+    """A request for a slot.
 
     :ivar priority: 0 is the most urgent.
-    :ivar start_by: time after which a place is of no use.
-    :ivar late_after: time until which a place lets the answer count in
-        full; requests past it go behind all others of their priority.
-    :ivar avoid: endpoints that are not to be used.
+    :ivar start_by: time after which a slot is of no use.
+    :ivar late_after: time after which the response will miss the route's
+        objective; the request is then queued behind all others of its
+        priority.
+    :ivar avoid: endpoints that must not be used.
     :ivar repeated: the request was sent before.
-    :ivar suspect: fingerprint of a request under which an endpoint has ended,
-        empty for others.
+    :ivar suspect: fingerprint of the request if an endpoint process ended
+        while it ran such a request, otherwise empty.
     """
 
     service: str
@@ -51,8 +52,8 @@
     suspect: str = ''
 
     @property
-    def is_particular(self) -> bool:
-        """Whether a place that others may have can be closed to it."""
+    def has_restrictions(self) -> bool:
+        """Whether it may be unable to use a slot that others can use."""
         return bool(self.avoid) or self.repeated or bool(self.suspect)
 
 
@@ -66,34 +67,35 @@
 
 
 class _Waiter:
-    """A request that waits for a place."""
+    """A queued request."""
 
-    __slots__ = ('demand', 'arrived', 'event', 'endpoint')
+    __slots__ = ('request', 'arrived', 'event', 'endpoint')
 
-    def __init__(self, *, demand: SlotRequest, arrived: float) -> None:
-        self.demand = demand
+    def __init__(self, *, request: SlotRequest, arrived: float) -> None:
+        self.request = request
         self.arrived = arrived
         self.event = anyio.Event()
         self.endpoint: endpoints.Endpoint | None = None
 
-    def rank(self, now: float) -> tuple[int, bool, float]:
-        """Return by what requests are ordered.
+    def sort_key(self, now: float) -> tuple[int, bool, float]:
+        """Return the key by which queued requests are ordered.
 
-        Under more load than can be served, strict order of arrival makes
-        every answer late.  Those that can still be in time go first.
+        Under overload, strict order of arrival makes every response late.
+        Requests that can still meet their objective therefore go first.
         """
-        is_late = now > self.demand.late_after
-        return self.demand.priority, is_late, self.arrived
+        is_late = now > self.request.late_after
+        return self.request.priority, is_late, self.arrived
 
 
 class Dispatcher:
-    """Hands out places at endpoints.
+    """Assigns endpoint slots to requests.
 
     :param slots: returns how many requests an endpoint may run at once.
     :param random: source of the retry jitter.
-    :param engine: returns the published figures of a service's engines.
-    :param accepted: returns the longest pause that callers of a service's
-        streams accept, 0 if none is known.
+    :param engine: returns the published performance figures of a service's
+        engines.
+    :param accepted_pause: returns the longest pause between events that
+        callers of a service's streams accept, 0 if none is known.
     """
 
     __slots__ = (
@@ -102,7 +104,7 @@
         '_slots',
         '_random',
         '_engine',
-        '_accepted',
+        '_accepted_pause',
         '_queues',
         '_breakers',
         '_limiters',
@@ -123,35 +125,37 @@
         self._slots = slots
         self._random = random
         self._engine = engine
-        self._accepted = accepted_pause
+        self._accepted_pause = accepted_pause
         self._queues: dict[str, list[_Waiter]] = {}
         self._breakers: dict[str, circuit_breakers.CircuitBreaker] = {}
         self._limiters: dict[str, concurrency_limits.ConcurrencyLimiter] = {}
 
     def limiter(self, service: str) -> concurrency_limits.ConcurrencyLimiter:
-        """Return the pace of a service."""
+        """Return the concurrency limiter of a service."""
         found = self._limiters.get(service)
         if found is None:
             found = concurrency_limits.ConcurrencyLimiter(
                 clock=self._clock,
-                running=lambda: self._find_running(service),
+                running=lambda: self._find_mean_running(service),
                 engine=lambda: self._engine(service),
-                accepted_pause=lambda: self._accepted(service),
+                accepted_pause=lambda: self._accepted_pause(service),
             )
             self._limiters[service] = found
         return found
 
-    def _find_running(self, service: str) -> float:
-        """Return how many requests an endpoint runs on average."""
+    def _find_mean_running(self, service: str) -> float:
+        """Return the mean number of requests that an endpoint runs."""
         known = self._table.of_usual_pace(service, now=self._clock())
-        return sum(one.in_flight for one in known) / max(1, len(known))
+        return sum(endpoint.in_flight for endpoint in known) / max(
+            1, len(known)
+        )
 
     def limited_services(self) -> list[str]:
-        """Return the services whose pace is known."""
+        """Return the services that have a concurrency limiter."""
         return list(self._limiters)
 
     def circuit_breaker(self, service: str) -> circuit_breakers.CircuitBreaker:
-        """Return the gate of a service."""
+        """Return the circuit breaker of a service."""
         found = self._breakers.get(service)
         if found is None:
             found = circuit_breakers.CircuitBreaker(
@@ -161,134 +165,134 @@
         return found
 
     def count_waiting(self, service: str) -> int:
-        """Return how many requests wait for a service."""
+        """Return the number of queued requests of a service."""
         return len(self._queues.get(service, ()))
 
     def services(self) -> list[str]:
-        """Return the services for which requests wait."""
+        """Return the services that have queued requests."""
         return [name for name, queue in self._queues.items() if queue]
 
-    async def acquire(self, demand: SlotRequest) -> Slot | outcomes.NotRun:
-        """Wait for a place; a cancelled caller leaves nothing behind."""
+    async def acquire(self, request: SlotRequest) -> Slot | outcomes.NotRun:
+        """Wait for a slot; a cancelled wait holds no slot or queue entry."""
         arrived = self._clock()
-        if not self.count_waiting(demand.service):
-            endpoint = self._take(demand)
+        if not self.count_waiting(request.service):
+            endpoint = self._try_acquire(request)
             if endpoint is not None:
                 return Slot(
-                    endpoint=endpoint, waited=0.0, suspect=demand.suspect
+                    endpoint=endpoint, waited=0.0, suspect=request.suspect
                 )
-        if not self._table.of_service(demand.service):
-            return self._refuse(demand, 'no endpoint of the service is known')
-        if self._find_open_time(demand.service) > demand.start_by:
-            return self._refuse(demand, 'no endpoint takes requests in time')
-        return await self._wait(demand, arrived)
+        if not self._table.of_service(request.service):
+            return self._refuse(request, 'no endpoint of the service is known')
+        if self._find_open_time(request.service) > request.start_by:
+            return self._refuse(request, 'no endpoint takes requests in time')
+        return await self._wait(request, arrived)
 
-    def release(self, place: Slot) -> None:
-        """Give a place back."""
-        place.endpoint.leave(suspect=place.suspect)
-        self.assign_slots(place.endpoint.record.service)
+    def release(self, slot: Slot) -> None:
+        """Free a slot and assign it to a queued request."""
+        slot.endpoint.leave(suspect=slot.suspect)
+        self.assign_slots(slot.endpoint.record.service)
 
     def assign_slots(self, service: str) -> None:
-        """Give free places to waiting requests."""
+        """Assign free slots to the queued requests of a service."""
         queue = self._queues.get(service)
         if not queue:
             return
         now = self._clock()
-        for waiter in sorted(queue, key=lambda one: one.rank(now)):
-            endpoint = self._take(waiter.demand)
+        for waiter in sorted(queue, key=lambda waiter: waiter.sort_key(now)):
+            endpoint = self._try_acquire(waiter.request)
             if endpoint is not None:
                 queue.remove(waiter)
                 waiter.endpoint = endpoint
                 waiter.event.set()
-            elif not waiter.demand.is_particular:
-                # Nothing is open to it, so nothing is to those behind it.
+            elif not waiter.request.has_restrictions:
+                # It could use any slot, so the requests behind it get none.
                 break
-        self._refuse_late_waiters(service, queue)
+        self._wake_late_waiters(service, queue)
 
-    def _refuse_late_waiters(self, service: str, queue: list[_Waiter]) -> None:
-        """Wake requests that no endpoint can take before their deadline."""
+    def _wake_late_waiters(self, service: str, queue: list[_Waiter]) -> None:
+        """Wake requests that no endpoint can start in time."""
         open_time = self._find_open_time(service)
         for waiter in queue:
-            if open_time > waiter.demand.start_by:
+            if open_time > waiter.request.start_by:
                 waiter.event.set()
 
     def assign_all_slots(self) -> None:
-        """Look at all queues again, as endpoints may have come free."""
+        """Assign free slots to the queued requests of all services."""
         for service in self.services():
             self.assign_slots(service)
 
     async def _wait(
-        self, demand: SlotRequest, arrived: float
+        self, request: SlotRequest, arrived: float
     ) -> Slot | outcomes.NotRun:
-        waiter = _Waiter(demand=demand, arrived=arrived)
-        queue = self._queues.setdefault(demand.service, [])
+        waiter = _Waiter(request=request, arrived=arrived)
+        queue = self._queues.setdefault(request.service, [])
         queue.append(waiter)
         try:
-            with anyio.move_on_after(demand.start_by - arrived):
+            with anyio.move_on_after(request.start_by - arrived):
                 await waiter.event.wait()
         except BaseException:
             self._abandon(queue, waiter)
             raise
         if waiter.endpoint is None:
             self._abandon(queue, waiter)
-            return self._refuse(demand, 'no endpoint had room in time')
+            return self._refuse(request, 'no endpoint had room in time')
         return Slot(
             endpoint=waiter.endpoint,
             waited=self._clock() - arrived,
-            suspect=demand.suspect,
+            suspect=request.suspect,
         )
 
     def _abandon(self, queue: list[_Waiter], waiter: _Waiter) -> None:
-        """Undo what a request holds that waits no longer.
+        """Remove a request from the queue, or free its slot.
 
-        A cancellation can arrive after a place was given and before the
-        request has run again; the place would be held for ever.
+        A cancellation can arrive after a slot was assigned and before the
+        waiting task resumes; without this the slot would never be freed.
         """
         if waiter.endpoint is None:
             queue.remove(waiter)
             return
-        waiter.endpoint.leave(suspect=waiter.demand.suspect)
-        self.assign_slots(waiter.demand.service)
+        waiter.endpoint.leave(suspect=waiter.request.suspect)
+        self.assign_slots(waiter.request.service)
 
-    def _take(self, demand: SlotRequest) -> endpoints.Endpoint | None:
-        breaker = self.circuit_breaker(demand.service)
-        if not breaker.allows(repeated=demand.repeated):
+    def _try_acquire(self, request: SlotRequest) -> endpoints.Endpoint | None:
+        breaker = self.circuit_breaker(request.service)
+        if not breaker.allows(repeated=request.repeated):
             return None
-        limiter = self.limiter(demand.service)
-        if self._is_at_limit(demand.service, limiter):
+        limiter = self.limiter(request.service)
+        if self._is_at_limit(request.service, limiter):
             return None
         endpoint = self._table.choose(
-            service=demand.service,
+            service=request.service,
             now=self._clock(),
             slots=lambda one: math.ceil(limiter.limit(self._slots(one))),
-            avoid=demand.avoid,
-            suspect=demand.suspect,
+            avoid=request.avoid,
+            suspect=request.suspect,
         )
         if endpoint is not None:
-            endpoint.enter(suspect=demand.suspect)
+            endpoint.enter(suspect=request.suspect)
             breaker.note_trial()
         return endpoint
 
     def _is_at_limit(
         self, service: str, limiter: concurrency_limits.ConcurrencyLimiter
     ) -> bool:
-        """Whether all endpoints together run as many as they should."""
+        """Whether the endpoints together run as many as the limit allows."""
         known = self._table.of_usual_pace(service, now=self._clock())
-        room = sum(limiter.limit(self._slots(one)) for one in known)
-        return sum(one.in_flight for one in known) >= room
+        limit = sum(limiter.limit(self._slots(endpoint)) for endpoint in known)
+        return sum(endpoint.in_flight for endpoint in known) >= limit
 
-    def _refuse(self, demand: SlotRequest, detail: str) -> outcomes.NotRun:
-        known = self._table.of_service(demand.service)
+    def _refuse(self, request: SlotRequest, detail: str) -> outcomes.NotRun:
+        known = self._table.of_service(request.service)
         now = self._clock()
         logging.info(
             'no place',
             extra=logs.fields(
-                service=demand.service,
+                service=request.service,
                 detail=detail,
                 endpoints=len(known),
-                open=sum(one.is_open(now=now) for one in known),
-                in_flight=sum(one.in_flight for one in known),
-                waiting=self.count_waiting(demand.service),
+                open=sum(endpoint.is_open(now=now) for endpoint in known),
+                in_flight=sum(endpoint.in_flight for endpoint in known),
+                waiting=self.count_waiting(request.service),
             ),
         )
         return outcomes.NotRun(
@@ -298,41 +302,41 @@
                 else outcomes.Reason.NO_ENDPOINT
             ),
             detail=detail,
-            retry_after=self.estimate_wait(demand.service),
+            retry_after=self.estimate_wait(request.service),
         )
 
     def _find_open_time(self, service: str) -> float:
-        """Return the time by which the first endpoint opens.
+        """Return the earliest time at which an endpoint takes requests again.
 
-        Returns 0 if all known endpoints are leaving, as a replacement may
-        register at any time.
+        Return 0 if all known endpoints are shutting down, as a replacement
+        may register at any time.
         """
         known = self._table.of_service(service)
-        open_time = min((one.opens_at for one in known), default=0.0)
+        open_time = min((endpoint.opens_at for endpoint in known), default=0.0)
         return open_time if math.isfinite(open_time) else 0.0
 
     def estimate_wait(self, service: str) -> float:
-        """Return the seconds after which there may be room."""
+        """Return the expected seconds until a slot is free."""
         delay = self._find_open_time(service) - self._clock()
         if delay > 0.0:
-            # Jitter keeps callers from retrying together and failing again.
+            # Without jitter the callers retry together and are refused again.
             return delay + self._random.uniform(0.0, MAX_RETRY_JITTER_SECONDS)
         known = self._table.of_service(service)
-        slots = sum(self._slots(one) for one in known)
-        times = [one.seconds for one in known if one.seconds]
+        slots = sum(self._slots(endpoint) for endpoint in known)
+        times = [endpoint.seconds for endpoint in known if endpoint.seconds]
         if not slots or not times:
-            return LEAST_RETRY_AFTER * 5.0
+            return MIN_RETRY_AFTER_SECONDS * 5.0
         mean = sum(times) / len(times)
         queued = self.count_waiting(service) + 1
-        return max(LEAST_RETRY_AFTER, mean * queued / slots)
+        return max(MIN_RETRY_AFTER_SECONDS, mean * queued / slots)
 
 
 def find_slots(
     endpoint: endpoints.Endpoint, engine: deployment.Engine | None
 ) -> float:
-    """Return how many requests an endpoint runs at once."""
+    """Return how many requests an endpoint can run at once."""
     if endpoint.record.slots:
         return float(endpoint.record.slots)
     if engine is not None:
         return float(engine.slots)
-    return float(USUAL_SLOTS)
+    return float(DEFAULT_SLOTS)
--- a/marigoldramp/gateway/event_frames.py
+++ b/marigoldramp/gateway/event_frames.py
@@ -1,16 +1,16 @@
-"""Whole server-sent events out of the pieces of a streamed body."""
+"""Splits the chunks of a streamed body into complete server-sent events."""
 
 import dataclasses
 import re
 
-#: An event ends with an empty line; both line ends are in use.
-_END = re.compile(rb'\r?\n\r?\n')
-_IDENTIFIER = re.compile(rb'(?m)^id:[ ]?([^\r\n]*)')
+#: An event ends with an empty line; lines may end with LF or CRLF.
+_EVENT_END = re.compile(rb'\r?\n\r?\n')
+_ID_FIELD = re.compile(rb'(?m)^id:[ ]?([^\r\n]*)')
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Frame:
-    """One whole event as it was sent.
+    """One complete event as it was sent.
 
     :ivar identifier: its ``id`` field, empty without one.
     """
@@ -20,9 +20,9 @@
 
 
 class Splitter:
-    """Collects bytes and gives out the events that are whole.
+    """Collects bytes and returns complete events.
 
-    :ivar rest: bytes of an event that is not whole yet.
+    :ivar rest: bytes of an incomplete event.
     """
 
     __slots__ = ('rest',)
@@ -31,27 +31,27 @@
         self.rest = b''
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes; return the events that they complete."""
+        """Add bytes; return the events that they complete."""
         buffer = self.rest + data
         frames = []
         start = 0
-        for end in _END.finditer(buffer):
-            frames.append(_read(buffer[start : end.end()]))
+        for end in _EVENT_END.finditer(buffer):
+            frames.append(_parse(buffer[start : end.end()]))
             start = end.end()
         self.rest = buffer[start:]
         return frames
 
 
-def _read(data: bytes) -> Frame:
-    found = _IDENTIFIER.search(data)
-    identifier = found.group(1).decode('latin-1').strip() if found else ''
+def _parse(data: bytes) -> Frame:
+    match = _ID_FIELD.search(data)
+    identifier = match.group(1).decode('latin-1').strip() if match else ''
     return Frame(data=data, identifier=identifier)
 
 
 def follows(*, identifier: str, last: str) -> bool:
-    """Whether an event comes after another one, by increasing numbers.
+    """Whether an event comes after another one, by numeric identifiers.
 
-    Events without a number, or before any other, are taken as they come.
+    Always true if one of the identifiers is not a number.
     """
     if not identifier.isdecimal() or not last.isdecimal():
         return True
--- a/marigoldramp/gateway/pass_times.py
+++ b/marigoldramp/gateway/pass_times.py
@@ -1,10 +1,11 @@
-"""How long the passes of a group last, from the events of its streams.
-
-All ranks of a group make each pass together, and each running request gets
-an event from each pass.  So the pauses of any stream tell at once, and for
-nothing, that passes take longer than a moment ago: because requests ask for
-other experts, or because a rank has turned slow.  Reading counts each quarter
-of a second to notice the same cost a calm day 0.055 of its worth.
+"""Estimates the forward pass times of a group from events of its streams.
+
+All ranks of an expert-parallel group run each forward pass together, and each
+running request gets an event from each pass.  The pause between two events of
+any stream therefore shows at once, and at no cost, that passes have slowed
+down: because requests use other experts, or because a rank has become slow.
+Polling the ranks' expert counts every quarter of a second to notice the same
+costs 0.055 of the value of a day without faults.
 """
 
 import collections
@@ -12,58 +13,59 @@
 from typing import Callable
 from typing import Iterable
 
-#: Passes in a row that have to be longer.  One that reads long prompts takes
-#: 1.2 to 1.8 times longer, but seldom do two in a row; after a shift of demand
-#: all take 1.4 to 2.2 times longer.
-RECENT = 2
-#: Passes among which the usual one is sought, and the part of them that are
-#: shorter than it.  Where demand shifts each 2.5 s, more than half of them
-#: were of an uneven map: compared with the median, one shift in three was not
-#: told.
-USUAL = 40
-USUAL_PART = 0.25
-LEAST_USUAL = 5
-#: Factor from which on passes count as longer than they were: the whole pass,
-#: and what goes with one request in it.  The latter does not grow when more
-#: requests run; it was 1.9 to 2.3 times longer after shifts in a group of 72.
-LONGER = 1.25
-LONGER_A_REQUEST = 1.45
-#: Part of a pause within which another one is of the same pass.
-SAME_PASS = 0.5
-#: Seconds for which a pass is told to peers.  A leader of many ranks is given
-#: no callers, so it has no streams that would show it that passes are longer.
-TELL_SECONDS = 0.25
-#: Seconds without events after which older ones say nothing.
-SILENCE = 2.0
+#: Consecutive passes that must be slower.  A pass that reads long prompts
+#: takes 1.2 to 1.8 times longer, but seldom two in a row; after a shift of
+#: expert demand all passes take 1.4 to 2.2 times longer.
+RECENT_PASSES = 2
+#: Passes that form the baseline, and the quantile of their times that recent
+#: passes are compared with.  Where demand shifts every 2.5 s, the load is
+#: imbalanced in more than half of them, and comparing with the median misses
+#: one shift in three.
+MAX_BASELINE_PASSES = 40
+BASELINE_QUANTILE = 0.25
+MIN_BASELINE_PASSES = 5
+#: Factors over the baseline above which passes count as slower: of the whole
+#: pass, and of its time per request.  The latter does not grow with the number
+#: of requests; after shifts in a group of 72 ranks it is 1.9 to 2.3 times
+#: longer.
+SLOWDOWN_FACTOR = 1.25
+REQUEST_SLOWDOWN_FACTOR = 1.45
+#: Share of a pause within which another pause belongs to the same pass.
+SAME_PASS_SHARE = 0.5
+#: Seconds for which a pass is reported to peers.  The leader of a large group
+#: gets no callers and so has no streams of its own to observe passes on.
+REPORT_SECONDS = 0.25
+#: Seconds without events after which older passes are discarded.
+MAX_SILENCE_SECONDS = 2.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class _Pass:
-    """One pass.
+    """One forward pass.
 
-    :ivar a_request: the part that goes with one of its requests, in seconds.
+    :ivar per_request: seconds that each request added to it.
     """
 
     seconds: float
-    a_request: float
+    per_request: float
 
 
 class PassTimes:
-    """Lengths of the last passes.
+    """Recent pass times of one group.
 
-    :param running: returns how many requests an endpoint runs on average.
-    :param base: returns the seconds of a pass without any request.
+    :param running: returns the mean number of requests that an endpoint runs.
+    :param empty_pass: returns the seconds of a pass without requests.
     """
 
     __slots__ = (
         '_clock',
         '_running',
-        '_base',
-        '_at',
+        '_empty_pass',
+        '_last_pass_at',
         '_recent',
-        '_usual',
-        '_own',
-        '_own_at',
+        '_baseline',
+        '_last_local',
+        '_last_local_at',
     )
 
     def __init__(
@@ -71,71 +73,74 @@
         *,
         clock: Callable[[], float],
         running: Callable[[], float] = lambda: 0.0,
-        base: Callable[[], float] = lambda: 0.0,
+        empty_pass: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._clock = clock
         self._running = running
-        self._base = base
-        self._at = float('-inf')
+        self._empty_pass = empty_pass
+        self._last_pass_at = float('-inf')
         self._recent: collections.deque[_Pass] = collections.deque()
-        self._usual: collections.deque[_Pass] = collections.deque(maxlen=USUAL)
-        self._own = 0.0
-        self._own_at = float('-inf')
+        self._baseline: collections.deque[_Pass] = collections.deque(
+            maxlen=MAX_BASELINE_PASSES
+        )
+        self._last_local = 0.0
+        self._last_local_at = float('-inf')
 
     def note_local(self, seconds: float) -> None:
-        """Learn of the time between two events of one stream of ours."""
-        self._own = seconds
-        self._own_at = self._clock()
+        """Record the time between two events of a local stream."""
+        self._last_local = seconds
+        self._last_local_at = self._clock()
         self.note_reported(seconds)
 
     def last_local(self) -> float:
-        """Return the last pass that a stream of ours has shown, 0 if none.
+        """Return the last pass time of a local stream, 0 if there is none.
 
-        What peers have told is left out, or it would go round for ever.
+        Times that peers reported are left out, as peers would otherwise report
+        them back and forth for ever.
         """
-        is_new = self._clock() - self._own_at <= TELL_SECONDS
-        return self._own if is_new else 0.0
+        is_new = self._clock() - self._last_local_at <= REPORT_SECONDS
+        return self._last_local if is_new else 0.0
 
     def note_reported(self, seconds: float) -> None:
-        """Learn of a pass that a stream has shown, maybe at a peer."""
+        """Record a pass time from a local stream or from a peer."""
         now = self._clock()
-        if now - self._at < SAME_PASS * seconds:
+        if now - self._last_pass_at < SAME_PASS_SHARE * seconds:
             return
-        if now - self._at > SILENCE:
+        if now - self._last_pass_at > MAX_SILENCE_SECONDS:
             self._recent.clear()
-            self._usual.clear()
-        self._at = now
-        self._recent.append(self._describe(seconds))
-        if len(self._recent) > RECENT:
-            self._usual.append(self._recent.popleft())
+            self._baseline.clear()
+        self._last_pass_at = now
+        self._recent.append(self._make_pass(seconds))
+        if len(self._recent) > RECENT_PASSES:
+            self._baseline.append(self._recent.popleft())
 
     def are_longer(self) -> bool:
-        """Whether passes take longer than they did."""
-        if self._clock() - self._at > SILENCE:
+        """Whether the recent passes are slower than the baseline."""
+        if self._clock() - self._last_pass_at > MAX_SILENCE_SECONDS:
             return False
-        if len(self._usual) < LEAST_USUAL:
+        if len(self._baseline) < MIN_BASELINE_PASSES:
             return False
-        whole = _find_usual(one.seconds for one in self._usual)
-        a_request = _find_usual(one.a_request for one in self._usual)
+        baseline = _find_baseline(one.seconds for one in self._baseline)
+        per_request = _find_baseline(one.per_request for one in self._baseline)
         return all(
-            one.seconds > LONGER * whole
-            and one.a_request > LONGER_A_REQUEST * a_request
+            one.seconds > SLOWDOWN_FACTOR * baseline
+            and one.per_request > REQUEST_SLOWDOWN_FACTOR * per_request
             for one in self._recent
         )
 
-    def _describe(self, seconds: float) -> _Pass:
-        """Return a pass of now."""
-        with_requests = max(0.0, seconds - self._base())
+    def _make_pass(self, seconds: float) -> _Pass:
+        """Return a pass with its time per running request."""
+        added = max(0.0, seconds - self._empty_pass())
         return _Pass(
             seconds=seconds,
-            a_request=with_requests / max(1.0, self._running()),
+            per_request=added / max(1.0, self._running()),
         )
 
     def reset_baseline(self) -> None:
-        """Take the passes of now for the usual ones."""
-        self._usual.clear()
+        """Start a new baseline from the passes that follow."""
+        self._baseline.clear()
 
 
-def _find_usual(times: Iterable[float]) -> float:
+def _find_baseline(times: Iterable[float]) -> float:
     ordered = sorted(times)
-    return ordered[int(USUAL_PART * len(ordered))]
+    return ordered[int(BASELINE_QUANTILE * len(ordered))]
--- a/marigoldramp/gateway/routes.py
+++ b/marigoldramp/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request: its host, then the longest prefix."""
+"""Finds the route of a request by its host and longest path prefix."""
 
 import random as random_module
 from typing import Iterable
@@ -7,10 +7,10 @@
 
 
 class RouteTable:
-    """Routes of one configuration by host and prefix.
+    """Routes of one configuration by host and path prefix.
 
-    A deployment may have hundreds of routes, so a lookup tries the prefixes
-    of the path and not the routes.
+    A deployment may have hundreds of routes, so a lookup tries each prefix of
+    the path instead of each route.
     """
 
     __slots__ = ('_by_host', '_accepted_pauses')
@@ -22,16 +22,16 @@
             prefixes = self._by_host.setdefault(route.host.lower(), {})
             prefixes[route.prefix] = route
             if route.longest_pause:
-                self._note_pause(route)
+                self._record_accepted_pause(route)
 
     def accepted_pause(self, service: str) -> float:
-        """Return the shortest pause that streams of a service may have.
+        """Return the lowest bound on pauses in streams of a service.
 
-        In seconds; 0 if none is known.
+        The bound is in seconds; return 0 if no route of the service has one.
         """
         return self._accepted_pauses.get(service, 0.0)
 
-    def _note_pause(self, route: deployment.Route) -> None:
+    def _record_accepted_pause(self, route: deployment.Route) -> None:
         for target in route.targets:
             known = self._accepted_pauses.get(target.service)
             self._accepted_pauses[target.service] = min(
@@ -39,10 +39,10 @@
             )
 
     def find(self, *, host: str, path: str) -> deployment.Route | None:
-        """Return the route of a request, if there is one.
+        """Return the route of a request, ``None`` if there is none.
 
-        :param host: as in the header; a port is ignored.
-        :param path: without the query.
+        :param host: the host header; a port is ignored.
+        :param path: the path without the query.
         """
         prefixes = self._by_host.get(host.partition(':')[0].lower())
         if prefixes is None:
@@ -60,7 +60,7 @@
 def pick_service(
     *, route: deployment.Route, random: random_module.Random
 ) -> str:
-    """Return one of the route's services, by their weights."""
+    """Return a random service of the route, by their weights."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/tests/gateway/test_call_deadlines.py
+++ b/tests/gateway/test_call_deadlines.py
@@ -1,4 +1,4 @@
-"""Tests of how long requests are of use to their callers."""
+"""Tests of the deadlines for starting a request."""
 
 import types
 
@@ -10,11 +10,11 @@
 from . import fake_endpoint as fake
 from . import site
 
-USUAL = 8.0
+ROUTE_TIMEOUT = 8.0
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     def __init__(self):
         self.now = 0.0
@@ -24,34 +24,34 @@
 
 
 @pytest.mark.parametrize(
-    ('asked', 'expected'),
+    ('attempts', 'expected'),
     [
         ([(0.0, 8.0)], 8.0),
         ([(0.0, 8.0), (1.0, 6.0)], 8.0),
         ([(0.0, 6.0), (1.0, 8.0)], 8.0),
-        # Callers of the route state less from now on: learned within two
-        # windows.
+        # Callers of the route now state a shorter time; it is known within
+        # two windows.
         ([(0.0, 8.0), (11.0, 5.0), (22.0, 5.0)], 5.0),
         ([(0.0, 8.0), (11.0, 5.0)], 8.0),
         ([(0.0, 8.0), (90.0, 5.0)], 5.0),
     ],
 )
-def test_usual_time_is_the_longest_stated_lately(asked, expected):
+def test_first_attempt_states_the_longest_recent_time(attempts, expected):
     clock = Clock()
     stated = call_deadlines.StatedTimeouts(clock=clock)
-    for at, seconds in asked:
-        clock.now = at
+    for now, seconds in attempts:
+        clock.now = now
         found = stated.find_longest(route='r', stated=seconds)
     assert found == expected
     assert stated.find_longest(route='other', stated=1.0) == 1.0
 
 
-def make_call(*, runs=0, asked=100.0, whole=8.0, **route):
+def make_call(*, runs=0, first_asked_at=100.0, time_budget=8.0, **route):
     return types.SimpleNamespace(
         runs=runs,
         arrived=100.0,
-        first_asked_at=asked,
-        deadline=100.0 + whole,
+        first_asked_at=first_asked_at,
+        deadline=100.0 + time_budget,
         route=site.make_route(**route),
     )
 
@@ -63,58 +63,56 @@
         (make_call(streams=True), 101.6),
         (make_call(streams=True, objective=1.0), 103.6),
         (make_call(streams=True, longest_pause=0.5), 103.6),
-        (make_call(streams=True, whole=1.0), 100.6),
+        (make_call(streams=True, time_budget=1.0), 100.6),
         (make_call(streams=True, runs=1), 108.0),
         (make_call(runs=1), 108.0),
     ],
 )
 def test_request_is_refused_before_its_caller_gives_up(call, expected):
-    """Callers leave streams that wait, and ask again to wait again.
+    """Guards against requests held until their callers give up and retry.
 
-    Sequence: a group stands for a while; more requests wait than it runs
-    in two seconds; each is held until its caller has left.
-    Cause: the wait was a part of the route's whole time, and callers of
-    streams wait two seconds for an event.
+    Callers of streams wait two seconds for an event.  After a group has
+    stopped for a while, more requests are queued than it runs in that time; a
+    wait bounded only by a share of the route's timeout loses each of them.
     """
     assert call_deadlines.find_latest_start(call) == pytest.approx(expected)
 
 
 @pytest.mark.parametrize(
-    ('asked', 'expected'), [(100.0, 100.22), (98.0, 98.22)]
+    ('first_asked_at', 'expected'), [(100.0, 100.22), (98.0, 98.22)]
 )
-def test_time_of_an_earlier_attempt_counts(asked, expected):
-    call = make_call(asked=asked)
+def test_objective_counts_from_the_first_attempt(first_asked_at, expected):
+    call = make_call(first_asked_at=first_asked_at)
     assert call_deadlines.find_late_after(call) == pytest.approx(expected)
 
 
 @pytest.mark.anyio
-async def test_request_that_asks_again_goes_behind_those_in_time():
-    """Under load no request is answered in time, though many could be.
+async def test_retried_request_is_queued_behind_those_on_time():
+    """Guards against overload in which no request is answered in time.
 
-    Sequence: requests wait until their callers ask again; the new attempts
-    arrive before others that ask for the first time and are served first,
-    though they are late already.
-    Cause: a second attempt was taken for a new request.
+    Callers retry while their requests are queued.  Treated as new, a retry is
+    served before first attempts that arrive after it, though it is already
+    late.
     """
-    opened = anyio.Event()
+    endpoint_released = anyio.Event()
 
     async def wait(stream, seen):
-        await opened.wait()
+        await endpoint_released.wait()
         await fake.answer()(stream, seen)
 
-    one = fake.FakeEndpoint(identity='i-1', scripts=[wait, fake.answer()])
-    route = site.make_route(timeout=USUAL, objective=2.0)
+    endpoint = fake.FakeEndpoint(identity='i-1', scripts=[wait, fake.answer()])
+    route = site.make_route(timeout=ROUTE_TIMEOUT, objective=2.0)
     config = site.make_configuration(route)
-    async with site.run_site(one, configuration=config) as running:
-        record = site.make_record(one, slots=1)
+    async with site.run_site(endpoint, configuration=config) as running:
+        record = site.make_record(endpoint, slots=1)
         running.endpoints.records = [record]
         running.gateway.table.put(record)
         async with anyio.create_task_group() as tasks:
             dispatcher = running.gateway.dispatcher
-            for number, (path, left) in enumerate(
+            for number, (path, remaining) in enumerate(
                 [('first', 8.0), ('again', 6.0), ('fresh', 8.0)]
             ):
-                more = f'Time-Budget-Ms: {left * 1000:.0f}\r\n'
+                more = f'Time-Budget-Ms: {remaining * 1000:.0f}\r\n'
 
                 async def ask(path=path, more=more):
                     got = await site.call(
@@ -129,7 +127,7 @@
                         == number
                     )
                 else:
-                    await one.arrived.wait()
-            opened.set()
-    targets = [seen.target for seen in one.seen]
+                    await endpoint.arrived.wait()
+            endpoint_released.set()
+    targets = [seen.target for seen in endpoint.seen]
     assert targets == ['/notes/first', '/notes/fresh', '/notes/again']
--- a/tests/gateway/test_concurrency_limits.py
+++ b/tests/gateway/test_concurrency_limits.py
@@ -1,10 +1,10 @@
-"""Tests of how many requests a group runs at once.
+"""Tests of the concurrency limit of a group.
 
-The load that these stand for: a group of 72 ranks with five slots each, whose
-requests ask for other experts each few seconds.  Until the next map a pass
-takes two to three times as long for each request, and one pass over the
-accepted pause makes all streams late.  Figures of the group are those of its
-published engine and of the passes that were seen in it.
+They model a group of 72 ranks with five slots each, whose expert demand shifts
+every few seconds.  Until the next expert map is in use, a pass takes two to
+three times as long per request, and one pass above the accepted pause makes
+all streams late.  The figures are those of the published engine of the group
+and of passes measured in it.
 """
 
 import pytest
@@ -13,12 +13,14 @@
 from marigoldramp.gateway import deployment
 
 SLOTS = 5.0
-ACCEPTED = 0.12
-#: Seconds of an empty pass, and what each request adds with an even map.
-BASE = 0.034
-A_REQUEST = 0.0078
-#: Times longer that this is for an uneven map, also while it is changed.
-UNEVEN = 3.0
+ACCEPTED_PAUSE = 0.12
+#: Seconds of an empty pass, and those that each request adds while the load of
+#: the ranks is balanced.
+EMPTY_PASS = 0.034
+PER_REQUEST = 0.0078
+#: Factor on the seconds per request while the load is imbalanced, also during
+#: the change of the expert map.
+IMBALANCE = 3.0
 ENGINE = deployment.Engine(
     slots=5,
     step=0.00484,
@@ -32,112 +34,124 @@
 
 
 class Group:
-    """A group that runs as many requests as the limit lets it.
+    """A simulated group that runs as many requests as the limit allows.
 
-    :ivar lengths: of its passes, in seconds.
+    :ivar pass_times: seconds of each pass so far.
     """
 
-    def __init__(self, *, engine=ENGINE, accepted=ACCEPTED):
+    def __init__(self, *, engine=ENGINE, accepted_pause=ACCEPTED_PAUSE):
         self.now = 0.0
-        self.accepted = accepted
+        self.accepted_pause = accepted_pause
         self.running = 0.0
-        self.lengths = []
+        self.pass_times = []
         self.limiter = concurrency_limits.ConcurrencyLimiter(
             clock=lambda: self.now,
             running=lambda: self.running,
             engine=lambda: engine,
-            accepted_pause=lambda: accepted,
+            accepted_pause=lambda: accepted_pause,
         )
 
-    def run(self, *, seconds, factor=1.0, wanted=9.0, extra=0.0):
-        """Make passes for a while.
+    def run(self, *, seconds, imbalance=1.0, wanted=9.0, extra=0.0):
+        """Run passes for a while.
 
-        :param wanted: requests that callers want to run on an endpoint.
-        :param extra: seconds by which each pass is longer.
+        :param wanted: requests per endpoint that callers have.
+        :param extra: seconds added to each pass.
         """
         until = self.now + seconds
         while self.now < until:
             self.running = min(wanted, self.limiter.limit(SLOTS))
-            length = BASE + A_REQUEST * factor * self.running + extra
-            self.now += length
-            self.lengths.append(length)
+            pass_time = (
+                EMPTY_PASS + PER_REQUEST * imbalance * self.running + extra
+            )
+            self.now += pass_time
+            self.pass_times.append(pass_time)
             for _ in range(3):
                 self.limiter.note_pause(
-                    seconds=length, accepted_pause=self.accepted
+                    seconds=pass_time, accepted_pause=self.accepted_pause
                 )
 
-    def run_shifts(self, *, times, rhythm, uneven):
+    def run_shifts(self, *, times, shift_interval, imbalanced_seconds):
         for _ in range(times):
-            self.run(seconds=uneven, factor=UNEVEN)
-            self.run(seconds=rhythm - uneven)
+            self.run(seconds=imbalanced_seconds, imbalance=IMBALANCE)
+            self.run(seconds=shift_interval - imbalanced_seconds)
 
     @property
     def limit(self):
         return self.limiter.limit(SLOTS)
 
 
-@pytest.mark.parametrize('uneven', [0.5, 0.9, 1.5])
-@pytest.mark.parametrize('rhythm', [2.5, 4.0, 8.0])
+@pytest.mark.parametrize('imbalanced_seconds', [0.5, 0.9, 1.5])
+@pytest.mark.parametrize('shift_interval', [2.5, 4.0, 8.0])
 @pytest.mark.parametrize('engine', [ENGINE, None], ids=['known', 'unknown'])
-def test_passes_after_a_shift_are_in_time(engine, rhythm, uneven):
-    """All streams are late after each shift of demand.
-
-    Sequence: the group is even and runs as many as it has slots; demand
-    shifts; each pass until the next map is longer than callers accept; the
-    limit falls, and rises again before the next shift.
-    Cause: the limit followed most passes, and not the longest.
+def test_passes_after_a_shift_keep_within_the_accepted_pause(
+    engine, shift_interval, imbalanced_seconds
+):
+    """Guards against late streams after each shift of expert demand.
+
+    A limit that follows the typical pass instead of the longest rises to all
+    slots between two shifts, so each pass from a shift until the next map is
+    longer than callers accept.
     """
     group = Group(engine=engine)
     group.run(seconds=1.0, wanted=1.0)
-    group.run_shifts(times=1, rhythm=rhythm, uneven=uneven)
-    first = len(group.lengths)
-    group.run_shifts(times=6, rhythm=rhythm, uneven=uneven)
-    seen = group.lengths[first:]
-    assert max(seen) <= ACCEPTED
-    # No more room is left than has to be.
-    assert max(seen) >= 0.85 * ACCEPTED
-    assert group.limit >= concurrency_limits.LEAST_SHARE * SLOTS
-
-
-def test_first_shift_finds_room():
-    """All streams of the first seconds are late, also after a power loss.
-
-    Sequence: all entries start anew; callers come back and fill all slots;
-    demand shifts for the first time since.
-    Cause: nothing told how long passes can be before the first long one.
+    group.run_shifts(
+        times=1,
+        shift_interval=shift_interval,
+        imbalanced_seconds=imbalanced_seconds,
+    )
+    warmup_passes = len(group.pass_times)
+    group.run_shifts(
+        times=6,
+        shift_interval=shift_interval,
+        imbalanced_seconds=imbalanced_seconds,
+    )
+    observed = group.pass_times[warmup_passes:]
+    assert max(observed) <= ACCEPTED_PAUSE
+    # The limit leaves no more headroom than necessary.
+    assert max(observed) >= 0.85 * ACCEPTED_PAUSE
+    assert group.limit >= concurrency_limits.MIN_SLOT_SHARE * SLOTS
+
+
+def test_limit_leaves_headroom_for_the_first_shift():
+    """Guards against late streams in the first seconds after a start.
+
+    After a power loss callers return to all gateways and fill all slots.  The
+    first shift of demand then makes passes too long if the limit is learned
+    only from observed passes.
     """
     group = Group()
     group.run(seconds=1.0)
-    group.run(seconds=1.0, factor=UNEVEN)
-    assert max(group.lengths) <= ACCEPTED
+    group.run(seconds=1.0, imbalance=IMBALANCE)
+    assert max(group.pass_times) <= ACCEPTED_PAUSE
 
 
 @pytest.mark.parametrize(
-    ('engine', 'accepted', 'least', 'most'),
+    ('engine', 'accepted_pause', 'min_limit', 'max_limit'),
     [
-        (ENGINE, ACCEPTED, 3.2, 3.8),
+        (ENGINE, ACCEPTED_PAUSE, 3.2, 3.8),
         (ENGINE, 0.0, 5.0, 5.0),
         (None, 0.12, 5, 5),
     ],
     ids=['known', 'no bound', 'unknown engine'],
 )
-def test_room_is_left_before_the_first_pass(engine, accepted, least, most):
-    """All slots are full when the first pass after a power loss is seen.
+def test_limit_before_the_first_pass(
+    engine, accepted_pause, min_limit, max_limit
+):
+    """Guards against full slots before the first pass after a power loss.
 
-    Sequence: all entries start anew; their callers come back at once and are
-    given places until an event tells how long passes are, 0.15 s later.
-    Cause: the published figures were looked at with the first pass.
+    Callers return at once, and the first event shows a pass time only 0.15 s
+    later.  Until then the limit must come from the published figures.
     """
-    group = Group(engine=engine, accepted=accepted)
-    assert least <= group.limit <= most
+    group = Group(engine=engine, accepted_pause=accepted_pause)
+    assert min_limit <= group.limit <= max_limit
 
 
 @pytest.mark.parametrize(
     ('seconds', 'engine'),
-    [(0.5, None), (concurrency_limits.HORIZON + 1.0, ENGINE)],
-    ids=['unknown engine', 'even for long'],
+    [(0.5, None), (concurrency_limits.HORIZON_SECONDS + 1.0, ENGINE)],
+    ids=['unknown engine', 'long balanced'],
 )
-def test_even_group_uses_all_slots(seconds, engine):
+def test_balanced_group_uses_all_slots(seconds, engine):
     group = Group(engine=engine)
     group.run(seconds=seconds)
     assert group.limit == SLOTS
@@ -145,73 +159,74 @@
 
 def test_slots_are_used_again_when_demand_no_longer_shifts():
     group = Group()
-    group.run_shifts(times=4, rhythm=2.5, uneven=0.9)
+    group.run_shifts(times=4, shift_interval=2.5, imbalanced_seconds=0.9)
     assert group.limit < SLOTS
-    group.run(seconds=concurrency_limits.HORIZON + 0.5)
+    group.run(seconds=concurrency_limits.HORIZON_SECONDS + 0.5)
     assert group.limit == SLOTS
 
 
 @pytest.mark.parametrize(
-    ('factor', 'extra'),
+    ('imbalance', 'extra'),
     [(8.0, 0.0), (1.0, 0.08), (1.0, 0.6)],
-    ids=['very uneven', 'slow rank', 'rank twelve times slower'],
+    ids=['very imbalanced', 'slow rank', 'rank twelve times slower'],
 )
-def test_group_that_cannot_be_in_time_is_not_held_back(factor, extra):
-    """Requests wait for five seconds after a group is well again.
+def test_group_that_is_late_at_any_limit_is_not_limited(imbalance, extra):
+    """Guards against requests that wait long after a group has recovered.
 
-    Sequence: passes are longer for six seconds than any limit could make
-    them; then they are as short as before; callers that ask again keep a
-    queue in which each request is late before it has a place.
-    Cause: the limit stayed at three fifths of the slots.
+    For six seconds passes are too long at any limit, then as short as before.
+    With the limit still at three fifths of the slots, retries of callers keep
+    up a queue for five seconds in which each request is late before it gets a
+    slot.
     """
     group = Group()
-    group.run(seconds=concurrency_limits.HORIZON + 1.0)
-    group.run(seconds=6.0, factor=factor, extra=extra)
+    group.run(seconds=concurrency_limits.HORIZON_SECONDS + 1.0)
+    group.run(seconds=6.0, imbalance=imbalance, extra=extra)
     group.run(seconds=0.3)
     assert group.limit == SLOTS
 
 
-@pytest.mark.parametrize('length', [0.25, 0.375, 1.5])
-def test_pass_that_stood_says_nothing(length):
+@pytest.mark.parametrize('pass_time', [0.25, 0.375, 1.5])
+def test_stalled_pass_is_ignored(pass_time):
     group = Group()
-    group.run(seconds=concurrency_limits.HORIZON + 1.0)
+    group.run(seconds=concurrency_limits.HORIZON_SECONDS + 1.0)
     for _ in range(3):
-        group.now += length
-        group.limiter.note_pause(seconds=length, accepted_pause=ACCEPTED)
+        group.now += pass_time
+        group.limiter.note_pause(
+            seconds=pass_time, accepted_pause=ACCEPTED_PAUSE
+        )
     assert group.limit == SLOTS
 
 
 @pytest.mark.parametrize('wanted', [0.5, 1.5, 2.5])
-def test_few_requests_say_nothing_of_many(wanted):
-    """A group starts with three fifths of its slots for ten seconds.
+def test_passes_with_few_requests_are_ignored(wanted):
+    """Guards against a limit of three fifths of the slots after a start.
 
-    Sequence: the first callers come; of each pass that they see most goes
-    into reading prompts.
-    Cause: passes with few requests were taken for a measure of many.
+    Passes with few requests go mostly into reading prompts.  Extrapolated to
+    all slots, they limit the group for ten seconds.
     """
     group = Group(engine=None)
     group.run(seconds=1.0, wanted=wanted, extra=0.02)
     assert group.limit == SLOTS
 
 
-def test_one_pass_that_an_entry_saw_late_changes_nothing():
+def test_one_event_read_late_is_ignored():
     group = Group()
-    group.run(seconds=concurrency_limits.HORIZON + 1.0)
+    group.run(seconds=concurrency_limits.HORIZON_SECONDS + 1.0)
     group.now += 0.13
-    group.limiter.note_pause(seconds=0.13, accepted_pause=ACCEPTED)
+    group.limiter.note_pause(seconds=0.13, accepted_pause=ACCEPTED_PAUSE)
     assert group.limit == SLOTS
 
 
-def test_passes_that_peers_tell_count():
+def test_passes_reported_by_peers_lower_the_limit():
     group = Group(engine=None)
     group.run(seconds=1.0)
     for _ in range(4):
         group.now += 0.14
         group.limiter.note_reported(0.14)
-    assert concurrency_limits.LEAST_SHARE * SLOTS <= group.limit < SLOTS
+    assert concurrency_limits.MIN_SLOT_SHARE * SLOTS <= group.limit < SLOTS
 
 
-def test_route_without_a_bound_of_pauses_changes_nothing():
-    group = Group(accepted=0.0)
-    group.run(seconds=3.0, factor=9.0)
+def test_no_limit_without_an_accepted_pause():
+    group = Group(accepted_pause=0.0)
+    group.run(seconds=3.0, imbalance=9.0)
     assert group.limit == SLOTS
--- a/tests/gateway/test_pass_times.py
+++ b/tests/gateway/test_pass_times.py
@@ -1,4 +1,4 @@
-"""Tests of what the pauses of streams say of a group's passes."""
+"""Tests of the pass times that are estimated from pauses of streams."""
 
 import random
 
@@ -15,34 +15,48 @@
         return self.now
 
 
-def play(times, clock, draw, *, seconds, usual, longest):
-    """Let passes go by, some of which read a long prompt."""
-    seen = []
+def run_passes(times, clock, rng, *, seconds, typical, prompt_factor):
+    """Simulate passes, one in eight of which reads a long prompt.
+
+    Return after each pass whether passes count as slower.
+    """
+    observed = []
     until = clock.now + seconds
     while clock.now < until:
-        length = usual * draw.choice([1.0] * 7 + [longest])
-        clock.now += length
+        pass_time = typical * rng.choice([1.0] * 7 + [prompt_factor])
+        clock.now += pass_time
         for _ in range(5):
-            times.note_local(length)
-        seen.append(times.are_longer())
-    return seen
+            times.note_local(pass_time)
+        observed.append(times.are_longer())
+    return observed
 
 
 @pytest.mark.parametrize('factor', [1.0, 1.6, 2.4])
 @pytest.mark.parametrize('seed', range(5))
-def test_longer_passes_are_noticed_at_once(seed, factor):
-    """An uneven map is noticed after a second.
+def test_slower_passes_are_noticed_at_once(seed, factor):
+    """Guards against an imbalanced load that is noticed only after a second.
 
-    Sequence: passes of 0.06 s, one in eight of which reads prompts and takes
-    half as long again; then all take longer.
-    Cause: only counts told that requests ask for other experts.
+    Passes take 0.06 s, one in eight reads prompts and takes half as long
+    again; then all take longer.  Polling the expert counts alone is too slow.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     clock = Clock()
     times = pass_times.PassTimes(clock=clock)
-    before = play(times, clock, draw, seconds=4.0, usual=0.06, longest=1.5)
-    after = play(
-        times, clock, draw, seconds=0.6, usual=0.06 * factor, longest=1.5
+    before = run_passes(
+        times,
+        clock,
+        rng,
+        seconds=4.0,
+        typical=0.06,
+        prompt_factor=1.5,
+    )
+    after = run_passes(
+        times,
+        clock,
+        rng,
+        seconds=0.6,
+        typical=0.06 * factor,
+        prompt_factor=1.5,
     )
     assert sum(before) < 0.2 * len(before)
     assert (sum(after) > 0.3 * len(after)) is (factor > 1.0)
@@ -51,54 +65,73 @@
         assert not times.are_longer()
 
 
-@pytest.mark.parametrize('uneven', [0.8, 1.2, 1.6])
-@pytest.mark.parametrize('rhythm', [2.0, 2.5, 4.0])
-def test_each_of_many_shifts_is_noticed(rhythm, uneven):
-    """A map is kept for three seconds after a shift.
+@pytest.mark.parametrize('imbalanced_seconds', [0.8, 1.2, 1.6])
+@pytest.mark.parametrize('shift_interval', [2.0, 2.5, 4.0])
+def test_each_of_many_shifts_is_noticed(shift_interval, imbalanced_seconds):
+    """Guards against a map that stays in use for three seconds after a shift.
 
-    Sequence: demand shifts each 2 to 4 s and passes are longer for most of
-    that time; the shift after next is not told by passes.
-    Cause: passes were compared with the median of the last 20, which was one
-    of an uneven map.
+    Expert demand shifts every 2 to 4 s and passes are slow for most of that
+    time.  The median of the last 20 passes is then a slow one, and compared
+    with it a later shift goes unnoticed.
     """
     clock = Clock()
     times = pass_times.PassTimes(clock=clock)
-    draw = random.Random(1)
-    play(times, clock, draw, seconds=3.0, usual=0.06, longest=1.2)
-    uneven_passes = {'usual': 0.105, 'longest': 1.2}
+    rng = random.Random(1)
+    run_passes(
+        times,
+        clock,
+        rng,
+        seconds=3.0,
+        typical=0.06,
+        prompt_factor=1.2,
+    )
+    slow_passes = {'typical': 0.105, 'prompt_factor': 1.2}
     for _ in range(6):
-        seen = play(times, clock, draw, seconds=0.4, **uneven_passes)
-        assert any(seen)
+        observed = run_passes(times, clock, rng, seconds=0.4, **slow_passes)
+        assert any(observed)
         times.reset_baseline()
-        play(times, clock, draw, seconds=uneven - 0.4, **uneven_passes)
-        left = rhythm - uneven
-        play(times, clock, draw, seconds=left, usual=0.06, longest=1.2)
-
-
-@pytest.mark.parametrize('most', [2.0, 3.0, 5.0])
-def test_more_requests_are_no_shift(most):
-    """Counts are read each half second while callers come back.
-
-    Sequence: requests in flight grow from one to five on an endpoint, and
-    passes with them; nothing else is asked for.
-    Cause: passes were compared whatever ran in them.
+        run_passes(
+            times,
+            clock,
+            rng,
+            seconds=imbalanced_seconds - 0.4,
+            **slow_passes,
+        )
+        balanced_seconds = shift_interval - imbalanced_seconds
+        run_passes(
+            times,
+            clock,
+            rng,
+            seconds=balanced_seconds,
+            typical=0.06,
+            prompt_factor=1.2,
+        )
+
+
+@pytest.mark.parametrize('max_running', [2.0, 3.0, 5.0])
+def test_more_requests_are_not_a_slowdown(max_running):
+    """Guards against polling expert counts each half second for nothing.
+
+    While callers return, requests in flight grow from one to five on an
+    endpoint and passes become longer with them, at unchanged expert demand.
+    Passes must be compared per request.
     """
     clock = Clock()
     running = 1.0
     times = pass_times.PassTimes(
-        clock=clock, running=lambda: running, base=lambda: 0.034
+        clock=clock, running=lambda: running, empty_pass=lambda: 0.034
     )
-    seen = []
-    while running < most:
+    observed = []
+    while running < max_running:
         running += 0.1
-        length = 0.034 + 0.014 * running
-        clock.now += length
-        times.note_local(length)
-        seen.append(times.are_longer())
-    assert not any(seen)
+        pass_time = 0.034 + 0.014 * running
+        clock.now += pass_time
+        times.note_local(pass_time)
+        observed.append(times.are_longer())
+    assert not any(observed)
 
 
-def test_streams_after_a_silence_are_not_compared_with_those_before():
+def test_passes_before_a_silence_are_discarded():
     clock = Clock()
     times = pass_times.PassTimes(clock=clock)
     times.note_local(0.05)
@@ -108,11 +141,11 @@
     assert not times.are_longer()
 
 
-def test_passes_that_peers_tell_are_not_told_on():
-    """Passes look longer for good.
+def test_passes_reported_by_peers_are_not_reported_back():
+    """Guards against passes that count as slow for ever.
 
-    Sequence: an entry tells a peer of a long pass; the peer tells it back.
-    Cause: what was told was taken for what own streams had shown.
+    A gateway reports a long pass to a peer, and the peer reports it back as
+    if one of its own streams had shown it.
     """
     clock = Clock()
     times = pass_times.PassTimes(clock=clock)
@@ -124,16 +157,16 @@
     assert times.last_local() == 0.0
 
 
-def test_leader_without_streams_notices_longer_passes():
-    """A shift of demand is noticed by chance, a second after it.
+def test_leader_without_streams_notices_slower_passes():
+    """Guards against a shift that a leader notices by chance, a second late.
 
-    Sequence: a leader is given no callers, so no stream shows it a pass.
-    Cause: only own streams told how long passes last.
+    A leader gets no callers and so has no streams of its own; it must use the
+    pass times that peers report.
     """
     clock = Clock()
     times = pass_times.PassTimes(clock=clock)
-    for length in [0.1] * 30 + [0.2] * 3:
-        clock.now += length
+    for pass_time in [0.1] * 30 + [0.2] * 3:
+        clock.now += pass_time
         for _ in range(5):
-            times.note_reported(length)
+            times.note_reported(pass_time)
     assert times.are_longer()
