--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -119,7 +119,7 @@
                 route=route.name, stated=seconds
             ),
             last_event=facts.last_event,
-            fingerprint=fingerprints.find_fingerprint(
+            fingerprint=fingerprints.compute_fingerprint(
                 head=head, customer=_find_key_holder(config, facts), body=body
             ),
             version=config.version,
--- a/marigoldramp/gateway/attempts.py
+++ b/marigoldramp/gateway/attempts.py
@@ -9,7 +9,7 @@
 
 from .. import asgi
 from .. import tcp_streams
-from . import ages
+from . import boot_clock
 from . import calls
 from . import codecs
 from . import deployment
@@ -168,7 +168,7 @@
         endpoint: endpoints.Endpoint,
         connection: outbound.Connection,
     ) -> Unreached | None:
-        remaining = call.deadline - ages.read_clock()
+        remaining = call.deadline - boot_clock.read_clock()
         if remaining <= 0.0:
             return Unreached(
                 detail='the deadline passed before the request was sent'
@@ -260,7 +260,7 @@
                 if frame.identifier:
                     call.last_event = frame.identifier
             if events:
-                pause = call.note_event(now=ages.read_clock())
+                pause = call.note_event(now=boot_clock.read_clock())
                 self._on_events(call, pause if has_sent_events else 0.0)
                 has_sent_events = True
                 if not exchange.begun:
--- a/marigoldramp/gateway/dispatch.py
+++ b/marigoldramp/gateway/dispatch.py
@@ -145,7 +145,7 @@
 
     def _find_mean_running(self, service: str) -> float:
         """Return the mean number of requests that an endpoint runs."""
-        known = self._table.of_usual_pace(service, now=self._clock())
+        known = self._table.list_without_slow_ranks(service, now=self._clock())
         return sum(endpoint.in_flight for endpoint in known) / max(
             1, len(known)
         )
@@ -181,7 +181,7 @@
                 return Slot(
                     endpoint=endpoint, waited=0.0, suspect=request.suspect
                 )
-        if not self._table.of_service(request.service):
+        if not self._table.list_for_service(request.service):
             return self._refuse(request, 'no endpoint of the service is known')
         if self._find_open_time(request.service) > request.start_by:
             return self._refuse(request, 'no endpoint takes requests in time')
@@ -189,7 +189,7 @@
 
     def release(self, slot: Slot) -> None:
         """Free a slot and assign it to a queued request."""
-        slot.endpoint.leave(suspect=slot.suspect)
+        slot.endpoint.remove_request(suspect=slot.suspect)
         self.assign_slots(slot.endpoint.record.service)
 
     def assign_slots(self, service: str) -> None:
@@ -251,7 +251,7 @@
         if waiter.endpoint is None:
             queue.remove(waiter)
             return
-        waiter.endpoint.leave(suspect=waiter.request.suspect)
+        waiter.endpoint.remove_request(suspect=waiter.request.suspect)
         self.assign_slots(waiter.request.service)
 
     def _try_acquire(self, request: SlotRequest) -> endpoints.Endpoint | None:
@@ -269,7 +269,7 @@
             suspect=request.suspect,
         )
         if endpoint is not None:
-            endpoint.enter(suspect=request.suspect)
+            endpoint.add_request(suspect=request.suspect)
             breaker.note_trial()
         return endpoint
 
@@ -277,12 +277,12 @@
         self, service: str, limiter: concurrency_limits.ConcurrencyLimiter
     ) -> bool:
         """Whether the endpoints together run as many as the limit allows."""
-        known = self._table.of_usual_pace(service, now=self._clock())
+        known = self._table.list_without_slow_ranks(service, now=self._clock())
         limit = sum(limiter.limit(self._slots(endpoint)) for endpoint in known)
         return sum(endpoint.in_flight for endpoint in known) >= limit
 
     def _refuse(self, request: SlotRequest, detail: str) -> outcomes.NotRun:
-        known = self._table.of_service(request.service)
+        known = self._table.list_for_service(request.service)
         now = self._clock()
         logging.info(
             'no place',
@@ -311,7 +311,7 @@
         Return 0 if all known endpoints are shutting down, as a replacement
         may register at any time.
         """
-        known = self._table.of_service(service)
+        known = self._table.list_for_service(service)
         open_time = min((endpoint.opens_at for endpoint in known), default=0.0)
         return open_time if math.isfinite(open_time) else 0.0
 
@@ -321,7 +321,7 @@
         if delay > 0.0:
             # Without jitter the callers retry together and are refused again.
             return delay + self._random.uniform(0.0, MAX_RETRY_JITTER_SECONDS)
-        known = self._table.of_service(service)
+        known = self._table.list_for_service(service)
         slots = sum(self._slots(endpoint) for endpoint in known)
         times = [endpoint.seconds for endpoint in known if endpoint.seconds]
         if not slots or not times:
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -109,8 +109,8 @@
             with anyio.move_on_after(call.deadline - self._clock()):
                 return await self._run_attempts(call)
             return await self._end_at_deadline(call)
-        verdict = self._containment.judge(call)
-        return await self._end_with_refusal(call, _describe_blocked(verdict))
+        decision = self._containment.decide(call)
+        return await self._end_with_refusal(call, _describe_blocked(decision))
 
     async def _run_attempts(self, call: calls.Call) -> str:
         """Attempt a call until its final response; return the outcome."""
@@ -156,10 +156,10 @@
     async def _acquire_slot(self, call: calls.Call) -> dispatch.Slot | NotRun:
         """Wait for a slot, unless the call is or becomes blocked."""
         while True:
-            verdict = self._containment.judge(call)
-            match verdict:
+            decision = self._containment.decide(call)
+            match decision:
                 case suspects.Blocked():
-                    return _describe_blocked(verdict)
+                    return _describe_blocked(decision)
                 case suspects.Undecided(seconds=seconds):
                     await anyio.sleep(seconds)
                     continue
@@ -171,7 +171,7 @@
                     late_after=call_deadlines.find_late_after(call),
                     avoid=call.excluded_endpoints,
                     repeated=call.sends > 0,
-                    suspect=_find_suspect(call, verdict),
+                    suspect=_find_suspect(call, decision),
                 )
             )
             if isinstance(slot, NotRun) or self._is_still_allowed(call):
@@ -180,7 +180,7 @@
 
     def _is_still_allowed(self, call: calls.Call) -> bool:
         """Whether a call may still be sent after it has waited for a slot."""
-        match self._containment.judge(call):
+        match self._containment.decide(call):
             case suspects.Blocked() | suspects.Undecided():
                 return False
         return True
@@ -192,9 +192,9 @@
         gateway that finds its port closed would otherwise send its copy on and
         end the next endpoint.
         """
-        match self._containment.judge(call):
+        match self._containment.decide(call):
             case suspects.Suspected():
-                await anyio.sleep(suspects.WORD_SECONDS)
+                await anyio.sleep(suspects.PEER_REPORT_SECONDS)
 
     async def _stagger_retry(self, broken: attempts.Broken) -> None:
         """Wait for a random time after the end of an endpoint's process.
@@ -438,21 +438,21 @@
     return round(seconds, 4) if math.isfinite(seconds) else -1.0
 
 
-def _find_suspect(call: calls.Call, verdict: suspects.Verdict) -> str:
+def _find_suspect(call: calls.Call, decision: suspects.Decision) -> str:
     """Return the fingerprint of a suspected call, empty for others."""
-    match verdict:
+    match decision:
         case suspects.Suspected():
             return call.fingerprint
     return ''
 
 
-def _describe_blocked(verdict: suspects.Verdict) -> NotRun:
+def _describe_blocked(decision: suspects.Decision) -> NotRun:
     """Return the refusal of a call whose fingerprint has ended endpoints.
 
     The fingerprint may have been cleared since the call was cancelled.
     """
     retry_after = MIN_RETRY_AFTER_SECONDS
-    match verdict:
+    match decision:
         case suspects.Blocked(seconds=seconds):
             retry_after = max(retry_after, seconds)
     return NotRun(
--- a/marigoldramp/gateway/outbound.py
+++ b/marigoldramp/gateway/outbound.py
@@ -15,7 +15,7 @@
 
 from .. import asgi
 from .. import tcp_streams
-from . import ages
+from . import boot_clock
 from . import codecs
 
 READ_BYTES = 65536
@@ -229,7 +229,7 @@
         :param max_idle_seconds: seconds that it may have been idle.
         """
         idle = self._idle.get(identity)
-        now = ages.read_clock()
+        now = boot_clock.read_clock()
         while idle:
             connection = idle.pop()
             if connection.is_usable(now=now):
@@ -266,7 +266,7 @@
         """Keep a connection after a complete response, if it is reusable."""
         idle = self._idle.setdefault(identity, collections.deque())
         if len(idle) < self._max_idle and connection.start_next_cycle(
-            now=ages.read_clock()
+            now=boot_clock.read_clock()
         ):
             idle.append(connection)
         else:
@@ -279,7 +279,7 @@
 
     def drop_expired(self) -> None:
         """Close idle connections that are no longer usable."""
-        now = ages.read_clock()
+        now = boot_clock.read_clock()
         for idle in self._idle.values():
             kept = [one for one in idle if one.is_usable(now=now)]
             for connection in idle:
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -86,7 +86,7 @@
 
 
 class RankTransport:
-    """A transport of orders, see :class:`.map_conversation.Transport`.
+    """A transport of orders, see :class:`.map_client.Transport`.
 
     :param find: returns the endpoint of a name.
     :param fenced: ranks refuse a lower token than they have seen.
@@ -155,7 +155,7 @@
         return {
             report.rank: report.pace
             for report in reports
-            if report is not None and report.pace >= quality.SLOW_PACE
+            if report is not None and report.pace >= quality.MIN_SLOW_PACE
         }
 
     def _locate(self, name: str, link: _Link) -> endpoints.Endpoint | None:
--- a/marigoldramp_measure/decisions.py
+++ b/marigoldramp_measure/decisions.py
@@ -90,7 +90,7 @@
         )
         endpoint = table.find(f'rank-{number}')
         assert endpoint is not None
-        endpoint.elsewhere = number % 5
+        endpoint.peer_requests = number % 5
     return table
 
 
@@ -194,6 +194,6 @@
             )
             for layer, row in zip(layers, popular)
         ],
-        gain_a_copy=GAIN,
-        most_moves=int(expert_planner.MAX_MOVES_PER_RANK * shape.ranks),
+        min_gain_per_copy=GAIN,
+        max_moves=int(expert_planner.MAX_MOVES_PER_RANK * shape.ranks),
     ).improve()
