--- a/tests/gateway/fake_endpoint.py
+++ b/tests/gateway/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers as a test tells it to."""
+"""A fake endpoint whose responses are scripted by a test."""
 
 import contextlib
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Seen:
-    """A request that came whole."""
+    """A complete request that the endpoint received."""
 
     method: str
     target: str
@@ -20,13 +20,15 @@
 
 
 class FakeEndpoint:
-    """Serves one connection after another by a list of scripts.
+    """Responds to each request with the next of a list of scripts.
 
-    A script is an async function ``(stream, seen)`` that writes raw bytes;
-    the last one is used again and again.
+    A script is an async function ``(stream, seen)`` that writes raw bytes and
+    returns false to close the connection.  The last script is used for all
+    further requests.
 
-    :ivar seen: requests, each of which may have run.
-    :ivar closed: set when a caller has closed its connection.
+    :ivar seen: received requests, each of which counts as run.
+    :ivar arrived: set when the first request has been received.
+    :ivar closed: set when a connection has ended.
     """
 
     def __init__(self, *, identity, scripts):
@@ -90,63 +92,66 @@
         script = self.scripts[0]
         if len(self.scripts) > 1:
             self.scripts.pop(0)
-        goes_on = await script(stream, seen)
-        if goes_on is False:
+        keep_open = await script(stream, seen)
+        if keep_open is False:
             return False
         return True
 
 
-def head(seen, status=200, *, sealed=True, attempt=None, more=''):
-    """Return the head of an answer without the empty line."""
+def head(seen, status=200, *, signed=True, attempt=None, more=''):
+    """Return a response head without the empty line.
+
+    :param more: further header lines.
+    """
     attempt = (
         seen.headers.get('attempt-id', '') if attempt is None else attempt
     )
     lines = f'HTTP/1.1 {status} X\r\nAttempt-Id: {attempt}\r\n'
-    if sealed:
+    if signed:
         lines += 'Runner-Seal: s.1\r\n'
     return lines + more
 
 
-def answer(body=b'hello', status=200, **more):
-    """Answer whole."""
+def answer(body=b'hello', status=200, **head_options):
+    """Return a script that sends a complete response."""
 
     async def script(stream, seen):
-        text = head(seen, status, **more)
-        text += f'Content-Length: {len(body)}\r\n\r\n'
-        await stream.send(text.encode() + body)
+        response_head = head(seen, status, **head_options)
+        response_head += f'Content-Length: {len(body)}\r\n\r\n'
+        await stream.send(response_head.encode() + body)
 
     return script
 
 
 def decline(status=503, more='Not-Executed: 1\r\n'):
-    """Refuse without running."""
+    """Return a script that declines a request as not run."""
     return answer(b'', status, more=more)
 
 
 async def hang(stream, seen):
-    """Never answer."""
+    """Never respond."""
     await stream.receive()
 
 
 async def cut(stream, seen):
-    """Close without an answer."""
+    """Close the connection without a response."""
     return False
 
 
 async def garbage(stream, seen):
-    """Send what is no answer."""
+    """Send bytes that are not HTTP."""
     await stream.send(b'\x00\x01 this is no answer\r\n\r\n')
     return False
 
 
 async def truncate(stream, seen):
-    """Break off in the middle of a body."""
+    """Close the connection in the middle of a body."""
     await stream.send((head(seen) + 'Content-Length: 50\r\n\r\nhalf').encode())
     return False
 
 
 async def answer_twice(stream, seen):
-    """Answer, and once more behind it."""
+    """Send a response, and another one after it."""
     await answer(b'right')(stream, seen)
     await answer(b'wrong')(stream, seen)
 
@@ -162,7 +167,14 @@
 
 
 def stream_events(first, last, *, ending='whole', begins=None):
-    """Stream events; ``ending`` says how it ends."""
+    """Return a script that streams events.
+
+    :param begins: returns the number of the first event for a request.
+    :param ending: ``whole`` ends the response; ``cut`` and ``close`` end the
+        connection after the last event, with and without chunked framing;
+        ``half`` and ``half_close`` do so in the middle of an event; ``hang``
+        keeps the connection open.
+    """
 
     async def script(stream, seen):
         start = first if begins is None else begins(seen)
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of the way of a request, with endpoints that fail in every way."""
+"""Tests of serving requests with endpoints that fail in various ways."""
 
 import anyio
 import msgspec
@@ -19,7 +19,7 @@
 }
 
 
-def make(identity, *scripts):
+def make_endpoint(identity, *scripts):
     return Fake(identity=identity, scripts=scripts)
 
 
@@ -27,7 +27,7 @@
     ('method', 'body'), [('GET', b''), ('POST', b'x' * 5000), ('POST', b'')]
 )
 async def test_whole_answer_and_unchanged_request(method, body):
-    one = make('i-1', fake.answer(b'fine', more='X-Own: 7\r\n'))
+    one = make_endpoint('i-1', fake.answer(b'fine', more='X-Own: 7\r\n'))
     async with site.run_site(one) as running:
         got = await site.call(
             running,
@@ -55,20 +55,22 @@
         fake.cut,
         fake.garbage,
         fake.truncate,
-        fake.answer(sealed=False),
+        fake.answer(signed=False),
         fake.answer(attempt='other'),
         fake.answer(more='Content-Encoding: gzip\r\n'),
     ],
     ids=['cut', 'garbage', 'truncated', 'unsealed', 'foreign', 'encoded'],
 )
-async def test_request_may_have_run(kind, fault):
-    """A call runs twice, or its failure is told as "not run".
+async def test_request_that_may_have_run_is_retried_only_if_repeatable(
+    kind, fault
+):
+    """Guards against forbidden retries and outcomes wrongly given as not run.
 
-    Sequence: an endpoint takes a request and gives no sound answer.
-    Cause: a retry without regard to what the route allows.
+    An endpoint accepts a request and sends no valid response.  Whether the
+    request may be retried depends on its route.
     """
-    one = make('i-1', fault)
-    two = make('i-2', fault)
+    one = make_endpoint('i-1', fault)
+    two = make_endpoint('i-2', fault)
     config = site.make_configuration(ROUTES[kind]())
     async with site.run_site(one, two, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
@@ -81,9 +83,9 @@
 
 @pytest.mark.parametrize('kind', ROUTES)
 async def test_declined_request_goes_elsewhere(kind):
-    one = make('i-1', fake.decline())
-    two = make('i-2', fake.decline())
-    three = make('i-3', fake.answer(b'ran'))
+    one = make_endpoint('i-1', fake.decline())
+    two = make_endpoint('i-2', fake.decline())
+    three = make_endpoint('i-3', fake.answer(b'ran'))
     config = site.make_configuration(ROUTES[kind]())
     async with site.run_site(one, two, three, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
@@ -93,8 +95,10 @@
 
 @pytest.mark.parametrize('kind', ROUTES)
 @pytest.mark.parametrize('status', [421, 429, 503])
-async def test_declined_everywhere_is_told_as_not_run(kind, status):
-    one = make('i-1', fake.decline(status))
+async def test_request_declined_everywhere_is_reported_as_not_run(
+    kind, status
+):
+    one = make_endpoint('i-1', fake.decline(status))
     config = site.make_configuration(ROUTES[kind](timeout=0.3))
     async with site.run_site(one, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
@@ -103,9 +107,9 @@
     assert msgspec.json.decode(got.body)['outcome'] == 'not_run'
 
 
-async def test_endpoint_that_cannot_be_reached_costs_nothing():
-    one = make('i-1', fake.answer(b'never'))
-    two = make('i-2', fake.answer(b'ran'))
+async def test_unreachable_endpoint_is_skipped():
+    one = make_endpoint('i-1', fake.answer(b'never'))
+    two = make_endpoint('i-2', fake.answer(b'ran'))
     config = site.make_configuration(site.FORBIDDEN())
     async with site.run_site(one, two, configuration=config) as running:
         table = running.gateway.table
@@ -117,8 +121,8 @@
 
 
 @pytest.mark.parametrize('kind', ROUTES)
-async def test_failure_of_the_endpoint_is_passed_on_unchanged(kind):
-    one = make('i-1', fake.answer(b'bad', 500))
+async def test_error_response_is_passed_on_unchanged(kind):
+    one = make_endpoint('i-1', fake.answer(b'bad', 500))
     config = site.make_configuration(ROUTES[kind](attempts=1))
     async with site.run_site(one, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
@@ -126,9 +130,9 @@
     assert got.headers['runner-seal'] == 's.1'
 
 
-async def test_failure_of_an_idempotent_request_is_tried_elsewhere():
-    one = make('i-1', fake.answer(b'bad', 500), fake.answer(b'good'))
-    two = make('i-2', fake.answer(b'bad', 500), fake.answer(b'good'))
+async def test_error_response_to_an_idempotent_request_is_retried():
+    one = make_endpoint('i-1', fake.answer(b'bad', 500), fake.answer(b'good'))
+    two = make_endpoint('i-2', fake.answer(b'bad', 500), fake.answer(b'good'))
     async with site.run_site(one, two) as running:
         statuses = []
         for _ in range(3):
@@ -140,8 +144,8 @@
     ('kind', 'status'),
     [('idempotent', 504), ('non_idempotent', 504), ('resumable', 504)],
 )
-async def test_silent_endpoint_ends_at_the_route_s_timeout(kind, status):
-    one = make('i-1', fake.hang)
+async def test_silent_endpoint_times_out_at_the_route_timeout(kind, status):
+    one = make_endpoint('i-1', fake.hang)
     config = site.make_configuration(ROUTES[kind](timeout=0.3, attempts=1))
     async with site.run_site(one, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
@@ -149,14 +153,13 @@
     assert got.complete
 
 
-async def test_answer_that_comes_twice_reaches_nobody_else():
-    """A caller gets the answer to another one's request.
+async def test_second_response_reaches_no_other_caller():
+    """Guards against a caller that gets the response to another request.
 
-    Sequence: an endpoint answers a request twice; the connection is used
-    again; the second copy is taken for the next request's answer.
-    Cause: a connection kept with bytes left to read on it.
+    An endpoint responds to a request twice.  If the connection is reused with
+    unread bytes, the second copy counts as the response to the next request.
     """
-    one = make('i-1', fake.answer_twice)
+    one = make_endpoint('i-1', fake.answer_twice)
     async with site.run_site(one) as running:
         for number in range(6):
             got = await site.call(running, attempt=f'a{number}')
@@ -165,8 +168,10 @@
                 assert got.body == b'right'
 
 
-async def test_connections_are_used_again():
-    one = make('i-1', fake.answer(b'x', more='Keep-Alive: timeout=5\r\n'))
+async def test_connections_are_reused():
+    one = make_endpoint(
+        'i-1', fake.answer(b'x', more='Keep-Alive: timeout=5\r\n')
+    )
     async with site.run_site(one) as running:
         for _ in range(5):
             assert (await site.call(running)).status == 200
@@ -174,12 +179,13 @@
 
 
 async def test_requests_that_must_not_repeat_get_fresh_connections():
-    """A call that must not repeat ends as "outcome unknown" for nothing.
+    """Guards against needless "outcome unknown" for requests without retries.
 
-    Sequence: an endpoint closes an idle connection as a request goes out.
-    Cause: the request had to use that connection.
+    An endpoint may close an idle connection just when a request is sent on it.
     """
-    one = make('i-1', fake.answer(b'x', more='Keep-Alive: timeout=5\r\n'))
+    one = make_endpoint(
+        'i-1', fake.answer(b'x', more='Keep-Alive: timeout=5\r\n')
+    )
     config = site.make_configuration(site.FORBIDDEN())
     async with site.run_site(one, configuration=config) as running:
         for _ in range(3):
@@ -187,13 +193,13 @@
     assert one.connections == 3
 
 
-async def test_caller_that_leaves_ends_the_work():
-    """An endpoint works on for a caller that has gone.
+async def test_request_is_cancelled_when_its_caller_disconnects():
+    """Guards against an endpoint that runs a request nobody waits for.
 
-    Sequence: a caller closes its connection before the answer comes.
-    Cause: the end of the caller's connection goes unnoticed until then.
+    A caller closes its connection before the response arrives, which must not
+    go unnoticed until then.
     """
-    one = make('i-1', fake.hang)
+    one = make_endpoint('i-1', fake.hang)
     async with site.run_site(one) as running:
         async with site.connect(running) as stream:
             await site.send_request(stream)
@@ -205,27 +211,27 @@
         assert running.gateway.table.find('i-1').own_requests == 0
 
 
-def resume(seen):
+def next_event(seen):
     return int(seen.headers.get('last-event-id', '0')) + 1
 
 
 @pytest.mark.parametrize('ending', ['cut', 'half', 'half_close'])
-async def test_stream_goes_on_at_another_endpoint(ending):
-    """A stream misses events, repeats some, or joins two halves of events.
+async def test_stream_is_resumed_at_another_endpoint(ending):
+    """Guards against missing, repeated and mixed-up events.
 
-    Sequence: an endpoint breaks off after some events, or in the middle of
-    one; another goes on after the last whole event.
-    Cause: bytes of an event that was not whole were passed on.
+    An endpoint fails after some events or in the middle of one, and another
+    one resumes after the last complete event.  Bytes of an incomplete event
+    must not be passed on.
     """
     scripts = [
-        fake.stream_events(1, 3, ending=ending, begins=resume),
-        fake.stream_events(1, 6, begins=resume),
+        fake.stream_events(1, 3, ending=ending, begins=next_event),
+        fake.stream_events(1, 6, begins=next_event),
     ]
-    one = make('i-1', *scripts)
-    two = make('i-2', *scripts)
+    one = make_endpoint('i-1', *scripts)
+    two = make_endpoint('i-2', *scripts)
     config = site.make_configuration(site.RESUMED())
     async with site.run_site(one, two, configuration=config) as running:
-        # Both break off at first; the request may run on two endpoints.
+        # Only one endpoint may fail, as a request runs on two at most.
         one.scripts = scripts[1:]
         got = await site.call(running, 'POST', body=b'x')
         if not two.seen:
@@ -241,7 +247,7 @@
     [('whole', True), ('close', True), ('cut', False), ('half_close', False)],
 )
 async def test_end_of_a_stream_that_is_not_resumed(ending, whole):
-    one = make('i-1', fake.stream_events(1, 3, ending=ending))
+    one = make_endpoint('i-1', fake.stream_events(1, 3, ending=ending))
     route = site.FORBIDDEN(streams=True)
     config = site.make_configuration(route)
     async with site.run_site(one, configuration=config) as running:
@@ -261,7 +267,7 @@
         await first.wait()
         await stream.send(fake.chunk(fake.event(2)) + b'0\r\n\r\n')
 
-    one = make('i-1', script)
+    one = make_endpoint('i-1', script)
     config = site.make_configuration(site.RESUMED())
     async with site.run_site(one, configuration=config) as running:
         async with site.connect(running) as stream:
@@ -275,11 +281,11 @@
                 seen += await stream.receive()
 
 
-async def test_leaving_endpoint_gets_nothing_new():
-    """An endpoint that leaves still gets requests.
+async def test_endpoint_that_is_shutting_down_gets_no_queued_request():
+    """Guards against sending queued requests to a leaving endpoint.
 
-    Sequence: requests wait for room; the endpoint says that it leaves.
-    Cause: only new requests, not waiting ones, look at who leaves.
+    A request waits for a slot when the endpoint reports that it is shutting
+    down.  Not only new requests must take this into account.
     """
     release = anyio.Event()
 
@@ -287,16 +293,16 @@
         await release.wait()
         await fake.answer()(stream, seen)
 
-    one = make('i-1', slow)
+    one = make_endpoint('i-1', slow)
     config = site.make_configuration(site.make_route(timeout=1.0))
     async with site.run_site(one, configuration=config) as running:
         running.gateway.table.put(site.make_record(one, slots=1))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(site.call, running)
             await one.arrived.wait()
-            waiting = running.gateway.dispatcher
+            dispatcher = running.gateway.dispatcher
             tasks.start_soon(site.call, running)
-            await running.until(lambda: waiting.count_waiting('notes') == 1)
+            await running.until(lambda: dispatcher.count_waiting('notes') == 1)
             running.gateway.follower.apply_changes(
                 site.listings.Changes(
                     records=(site.make_record(one, leaving=True),),
@@ -321,14 +327,14 @@
         ('', True, 60.0, 200),
     ],
 )
-async def test_keys_are_trusted_for_a_time_only(key, public, age, status):
-    """A key works long after it was taken away.
+async def test_keys_are_trusted_for_a_limited_time(key, public, age, status):
+    """Guards against a key that works long after it was removed.
 
-    Sequence: the store and all peers go silent; the operator takes a key
-    away; a caller uses it.
-    Cause: a configuration believed for longer than it was confirmed.
+    The store and all peers become unreachable, the operator removes a key and
+    a caller uses it.  A configuration must not be trusted for long after it
+    was last confirmed.
     """
-    one = make('i-1', fake.answer())
+    one = make_endpoint('i-1', fake.answer())
     config = site.make_configuration(
         site.make_route(public=public),
         customers={'good': deployment.Customer(name='house')},
@@ -347,7 +353,7 @@
 
 
 async def test_unknown_route_and_no_configuration():
-    one = make('i-1', fake.answer())
+    one = make_endpoint('i-1', fake.answer())
     async with site.run_site(one) as running:
         assert (await site.call(running, path='/other/')).status == 404
         assert (await site.call(running, host='other')).status == 404
@@ -356,11 +362,10 @@
     assert not one.seen
 
 
-async def test_planned_stop_cuts_nothing():
-    """A stop cuts a request that is in flight.
+async def test_stop_lets_running_requests_finish():
+    """Guards against a stop that cuts off requests in flight.
 
-    Sequence: a request runs; the process is asked to stop.
-    Cause: the process ends before its requests do.
+    The process must not end before the requests that it is serving.
     """
     release = anyio.Event()
 
@@ -368,7 +373,7 @@
         await release.wait()
         await fake.answer(b'late')(stream, seen)
 
-    one = make('i-1', slow)
+    one = make_endpoint('i-1', slow)
     async with site.run_site(one) as running:
         async with site.connect(running) as stream:
             await site.send_request(stream)
@@ -381,26 +386,25 @@
     assert got.headers['connection'] == 'close'
 
 
-async def test_requests_outlast_a_service_that_runs_nothing_for_a_while():
-    """Requests are refused or cut though their service is back in time.
+async def test_requests_wait_while_their_service_runs_none():
+    """Guards against refusals and cut streams while a service recovers.
 
-    Sequence: a group of ranks breaks; every endpoint declines all requests,
-    and cuts the streams that it runs; a moment later all is well.
-    Cause: requests that use up their tries and the budget of repeats while
-    nothing can run.
+    A group of ranks breaks: every endpoint declines all requests and cuts off
+    its streams, and recovers a moment later.  Meanwhile the requests must not
+    use up their attempts and the retry budget.
     """
-    well = False
+    recovered = False
 
     async def script(stream, seen):
-        if not well:
+        if not recovered:
             await fake.decline()(stream, seen)
             return True
-        return await fake.stream_events(1, 3, begins=resume)(stream, seen)
+        return await fake.stream_events(1, 3, begins=next_event)(stream, seen)
 
     async def first(stream, seen):
         return await fake.stream_events(1, 1, ending='cut')(stream, seen)
 
-    fakes = [make(f'i-{number}', script) for number in range(3)]
+    fakes = [make_endpoint(f'i-{number}', script) for number in range(3)]
     fakes[0].scripts = [first, script]
     config = site.make_configuration(site.RESUMED())
     statuses = []
@@ -421,7 +425,7 @@
             sends = sum(len(one.seen) for one in fakes)
             await anyio.sleep(0.5)
             assert sum(len(one.seen) for one in fakes) - sends <= 5
-            well = True
+            recovered = True
     events = b''.join(fake.event(one) for one in range(1, 4))
     good = [one for one in statuses if one == (200, True, events)]
     assert len(good) >= 6
@@ -439,10 +443,10 @@
         ('/notes/', fake.decline(), 0.3, 'refused:'),
     ],
 )
-async def test_each_request_leaves_a_line_with_what_decided_it(
+async def test_each_request_is_logged_with_its_outcome(
     path, script, timeout, outcome, lines
 ):
-    one = make('i-1', script)
+    one = make_endpoint('i-1', script)
     config = site.make_configuration(site.make_route(timeout=timeout))
     async with site.run_site(one, configuration=config) as running:
         await site.call(running, path=path, attempt='a-7')
@@ -455,8 +459,8 @@
     assert found['seconds'] >= 0.0
 
 
-async def test_metrics_page_shows_requests_and_beliefs():
-    one = make('i-1', fake.answer())
+async def test_metrics_page_shows_requests_and_state():
+    one = make_endpoint('i-1', fake.answer())
     async with site.run_site(one) as running:
         await site.call(running)
         await running.until(lambda: running.gateway.forwarder.running == 0)
--- a/tests/gateway/test_inbound.py
+++ b/tests/gateway/test_inbound.py
@@ -1,4 +1,4 @@
-"""Tests of callers' connections: bounds, broken requests, reuse."""
+"""Tests of callers' connections: limits, invalid requests and reuse."""
 
 import anyio
 import pytest
@@ -9,7 +9,7 @@
 pytestmark = pytest.mark.anyio
 
 
-def make(*scripts):
+def make_endpoint(*scripts):
     return fake.FakeEndpoint(identity='i-1', scripts=scripts)
 
 
@@ -47,10 +47,10 @@
             400,
         ),
     ],
-    ids=['host', 'form', 'head', 'length', 'chunks', 'chunk', 'budget'],
+    ids=['host', 'syntax', 'head size', 'length', 'chunks', 'chunk', 'budget'],
 )
-async def test_request_that_is_refused_reaches_no_endpoint(sent, status):
-    one = make(fake.answer())
+async def test_invalid_request_reaches_no_endpoint(sent, status):
+    one = make_endpoint(fake.answer())
     async with site.run_site(one) as running:
         async with site.connect(running) as stream:
             await stream.send(sent)
@@ -60,8 +60,8 @@
     assert not one.seen
 
 
-async def test_head_that_does_not_end_is_answered_in_time():
-    one = make(fake.answer())
+async def test_unfinished_head_is_answered_in_time():
+    one = make_endpoint(fake.answer())
     config = site.make_configuration(head_seconds=0.1)
     async with site.run_site(one, configuration=config) as running:
         async with site.connect(running) as stream:
@@ -70,8 +70,8 @@
     assert got.status == 408
 
 
-async def test_idle_connection_is_closed_after_its_time():
-    one = make(fake.answer())
+async def test_idle_connection_is_closed():
+    one = make_endpoint(fake.answer())
     config = site.make_configuration(idle_seconds=0.1)
     async with site.run_site(one, configuration=config) as running:
         async with site.connect(running) as stream:
@@ -80,8 +80,8 @@
                     await stream.receive()
 
 
-async def test_body_that_stops_is_answered_at_the_deadline():
-    one = make(fake.answer())
+async def test_unfinished_body_is_answered_at_the_deadline():
+    one = make_endpoint(fake.answer())
     config = site.make_configuration(site.make_route(timeout=0.2))
     async with site.run_site(one, configuration=config) as running:
         async with site.connect(running) as stream:
@@ -95,11 +95,11 @@
 
 
 @pytest.mark.parametrize('count', [1, 5])
-async def test_requests_follow_each_other_on_one_connection(count):
+async def test_requests_reuse_a_connection(count):
     async def script(stream, seen):
         await fake.answer(seen.target.encode())(stream, seen)
 
-    one = make(script)
+    one = make_endpoint(script)
     async with site.run_site(one) as running:
         async with site.connect(running) as stream:
             for number in range(count):
@@ -111,11 +111,11 @@
     assert [len(seen.body) for seen in one.seen] == list(range(count))
 
 
-async def test_requests_sent_ahead_are_served_in_order():
+async def test_pipelined_requests_are_served_in_order():
     async def script(stream, seen):
         await fake.answer(seen.target.encode())(stream, seen)
 
-    one = make(script)
+    one = make_endpoint(script)
     async with site.run_site(one) as running:
         async with site.connect(running) as stream:
             for number in range(3):
@@ -129,14 +129,14 @@
     assert data.count(b'HTTP/1.1 200') == 3
 
 
-async def test_smuggled_request_is_no_request():
-    """A request hidden in another one's body runs.
+async def test_smuggled_request_is_not_run():
+    """Guards against running a request that is hidden in another one's body.
 
-    Sequence: a body holds the text of a second request; lengths disagree.
-    Cause: the body is passed on with the framing that the caller gave it.
+    A body contains the text of a second request, with inconsistent lengths.
+    It must not be passed on with the framing that the caller chose.
     """
     hidden = b'GET /notes/hidden HTTP/1.1\r\nHost: notes.example\r\n\r\n'
-    one = make(fake.answer())
+    one = make_endpoint(fake.answer())
     async with site.run_site(one) as running:
         async with site.connect(running) as stream:
             await stream.send(
