--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -29,7 +29,6 @@
 class Admission:
     """Admits requests according to the current configuration.
 
-    :param held: the configurations that this gateway holds.
     :param revoke_seconds: returns the seconds after which a removed key must
         no longer work.
     """
--- a/marigoldramp/gateway/circuit_breakers.py
+++ b/marigoldramp/gateway/circuit_breakers.py
@@ -4,8 +4,8 @@
 requests.  Requests that kept trying would use up the retry budget within a
 second, and be refused though the group forms again well before their
 deadlines.  While the circuit breaker is tripped they wait, and single requests
-are let through as a trial.  Requests that were never sent are tried more
-often, as their first send does not count as a retry.
+are let through as a trial.  Requests that were never sent go first, as their
+first send does not count as a retry.
 """
 
 from typing import Callable
@@ -15,7 +15,7 @@
 from .. import logs
 
 #: Consecutive failures of the endpoints of a service that trip its breaker.
-MAX_FAILURES = 3
+FAILURE_THRESHOLD = 3
 #: Seconds before the next trial by a request that was never sent, and by one
 #: that was, as only the latter spends the retry budget.
 TRIAL_INTERVAL_SECONDS = 0.15
@@ -47,12 +47,12 @@
     @property
     def is_tripped(self) -> bool:
         """Whether requests are held back."""
-        return self._failures >= MAX_FAILURES
+        return self._failures >= FAILURE_THRESHOLD
 
     def note_failure(self) -> None:
         """Note that an endpoint of the service did not run a request."""
         self._failures += 1
-        if self._failures == MAX_FAILURES:
+        if self._failures == FAILURE_THRESHOLD:
             self._tripped_at = self._clock()
             self._last_trial_at = self._clock()
             logging.info('gate shut', extra=logs.fields(service=self._service))
--- a/marigoldramp/gateway/concurrency_limits.py
+++ b/marigoldramp/gateway/concurrency_limits.py
@@ -27,7 +27,7 @@
 #: Share of these passes that may be too long: one in a hundred, as a gateway
 #: process may read an event late.  One in 25 admits the pass during which
 #: experts are copied, which makes two of three streams late.
-LONGER_PASS_SHARE = 0.015
+MAX_LATE_PASS_SHARE = 0.015
 #: Share of the slots that is used however long the pauses are.
 MIN_SLOT_SHARE = 0.6
 #: Longest pause that counts, in accepted pauses.  A group that stops for a
@@ -167,7 +167,7 @@
         while now - self._pass_limits[0].at > HORIZON_SECONDS:
             self._pass_limits.popleft()
         limits = sorted(one.requests for one in self._pass_limits)
-        self._current_limit = limits[int(LONGER_PASS_SHARE * len(limits))]
+        self._current_limit = limits[int(MAX_LATE_PASS_SHARE * len(limits))]
         if now - self._first_pass_at < HORIZON_SECONDS:
             self._current_limit = min(
                 self._current_limit, self._estimate_limit()
--- a/marigoldramp/gateway/dependency_health.py
+++ b/marigoldramp/gateway/dependency_health.py
@@ -13,8 +13,9 @@
 def scale_retry_delay(seconds: float, *, position: int) -> float:
     """Return how long a gateway waits before it tries the store again.
 
-    The delay grows with the position, as rejected calls to the store are
-    charged too, and gateways learn from each other what one of them reads.
+    Each further gateway waits once more the delay of the first, as rejected
+    calls to the store are charged too, and gateways learn from each other what
+    one of them reads.
 
     :param seconds: the delay of the first gateway.
     :param position: our position among the gateways that exchange reports
--- a/marigoldramp/gateway/dispatch.py
+++ b/marigoldramp/gateway/dispatch.py
@@ -145,9 +145,11 @@
 
     def _find_mean_running(self, service: str) -> float:
         """Return the mean number of requests that an endpoint runs."""
-        known = self._table.list_without_slow_ranks(service, now=self._clock())
-        return sum(endpoint.in_flight for endpoint in known) / max(
-            1, len(known)
+        candidates = self._table.list_without_slow_ranks(
+            service, now=self._clock()
+        )
+        return sum(endpoint.in_flight for endpoint in candidates) / max(
+            1, len(candidates)
         )
 
     def limited_services(self) -> list[str]:
@@ -277,28 +279,32 @@
         self, service: str, limiter: concurrency_limits.ConcurrencyLimiter
     ) -> bool:
         """Whether the endpoints together run as many as the limit allows."""
-        known = self._table.list_without_slow_ranks(service, now=self._clock())
-        limit = sum(limiter.limit(self._slots(endpoint)) for endpoint in known)
-        return sum(endpoint.in_flight for endpoint in known) >= limit
+        candidates = self._table.list_without_slow_ranks(
+            service, now=self._clock()
+        )
+        limit = sum(
+            limiter.limit(self._slots(endpoint)) for endpoint in candidates
+        )
+        return sum(endpoint.in_flight for endpoint in candidates) >= limit
 
     def _refuse(self, request: SlotRequest, detail: str) -> outcomes.NotRun:
-        known = self._table.list_for_service(request.service)
+        candidates = self._table.list_for_service(request.service)
         now = self._clock()
         logging.info(
             'no place',
             extra=logs.fields(
                 service=request.service,
                 detail=detail,
-                endpoints=len(known),
-                open=sum(endpoint.is_open(now=now) for endpoint in known),
-                in_flight=sum(endpoint.in_flight for endpoint in known),
+                endpoints=len(candidates),
+                open=sum(endpoint.is_open(now=now) for endpoint in candidates),
+                in_flight=sum(endpoint.in_flight for endpoint in candidates),
                 waiting=self.count_waiting(request.service),
             ),
         )
         return outcomes.NotRun(
             reason=(
                 outcomes.Reason.CANNOT_END_IN_TIME
-                if known
+                if candidates
                 else outcomes.Reason.NO_ENDPOINT
             ),
             detail=detail,
@@ -311,8 +317,10 @@
         Return 0 if all known endpoints are shutting down, as a replacement
         may register at any time.
         """
-        known = self._table.list_for_service(service)
-        open_time = min((endpoint.opens_at for endpoint in known), default=0.0)
+        candidates = self._table.list_for_service(service)
+        open_time = min(
+            (endpoint.opens_at for endpoint in candidates), default=0.0
+        )
         return open_time if math.isfinite(open_time) else 0.0
 
     def estimate_wait(self, service: str) -> float:
@@ -321,9 +329,11 @@
         if delay > 0.0:
             # Without jitter the callers retry together and are refused again.
             return delay + self._random.uniform(0.0, MAX_RETRY_JITTER_SECONDS)
-        known = self._table.list_for_service(service)
-        slots = sum(self._slots(endpoint) for endpoint in known)
-        times = [endpoint.seconds for endpoint in known if endpoint.seconds]
+        candidates = self._table.list_for_service(service)
+        slots = sum(self._slots(endpoint) for endpoint in candidates)
+        times = [
+            endpoint.seconds for endpoint in candidates if endpoint.seconds
+        ]
         if not slots or not times:
             return MIN_RETRY_AFTER_SECONDS * 5.0
         mean = sum(times) / len(times)
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -358,9 +358,9 @@
         self,
         exchange: inbound.Exchange,
         refusal: outcomes.Refusal,
-        attempt: str,
+        attempt_id: str,
     ) -> None:
-        problem = problems.describe(refusal=refusal, call=attempt)
+        problem = problems.describe(refusal=refusal, call=attempt_id)
         headers = [
             (b'content-type', problems.CONTENT_TYPE),
             (problems.HEADER, b'1'),
--- a/marigoldramp/gateway/pass_times.py
+++ b/marigoldramp/gateway/pass_times.py
@@ -4,8 +4,8 @@
 running request gets an event from each pass.  The pause between two events of
 any stream therefore shows at once, and at no cost, that passes have slowed
 down: because requests use other experts, or because a rank has become slow.
-Polling the ranks' expert counts every quarter of a second to notice the same
-costs 0.055 of the value of a day without faults.
+On a quiet day, polling the ranks' expert counts every quarter of a second to
+notice the same costs 0.055 of the value served.
 """
 
 import collections
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -243,17 +243,17 @@
 
 
 @pytest.mark.parametrize(
-    ('ending', 'whole'),
+    ('ending', 'is_complete'),
     [('whole', True), ('close', True), ('cut', False), ('half_close', False)],
 )
-async def test_end_of_a_stream_that_is_not_resumed(ending, whole):
+async def test_end_of_a_stream_that_is_not_resumed(ending, is_complete):
     one = make_endpoint('i-1', fake.stream_events(1, 3, ending=ending))
     route = site.FORBIDDEN(streams=True)
     config = site.make_configuration(route)
     async with site.run_site(one, configuration=config) as running:
         got = await site.call(running, 'POST', body=b'x')
     assert got.body == b''.join(fake.event(one) for one in range(1, 4))
-    assert got.complete is whole
+    assert got.complete is is_complete
 
 
 async def test_events_arrive_one_by_one():
@@ -282,7 +282,7 @@
 
 
 async def test_endpoint_that_is_shutting_down_gets_no_queued_request():
-    """Guards against sending queued requests to a leaving endpoint.
+    """Guards against sending queued requests to a stopping endpoint.
 
     A request waits for a slot when the endpoint reports that it is shutting
     down.  Not only new requests must take this into account.
