--- a/marigoldramp/gateway/admission.py
+++ b/marigoldramp/gateway/admission.py
@@ -16,10 +16,10 @@
 #: Share of the key revocation time that is kept as a margin for clocks that
 #: run at different rates.
 REVOKE_MARGIN_RATIO = 0.1
-#: Seconds since our configuration was confirmed as the newest, up to which an
-#: unknown route or key is reported as unknown.
+#: An unknown route or key is reported as unknown only if the configuration was
+#: confirmed as the newest within this many seconds.
 MAX_CONFIRMED_AGE_SECONDS = 1.8
-#: Retry delay for callers while our configuration may be outdated.
+#: Retry delay for callers while the configuration may be outdated.
 RETRY_AFTER_SECONDS = 0.5
 
 NotRun = outcomes.NotRun
@@ -75,7 +75,7 @@
             facts = self._codec.read_request(head.headers)
         except ValueError as error:
             return NotRun(reason=Reason.MALFORMED, detail=str(error))
-        exchange.request = facts.attempt_id
+        exchange.attempt_id = facts.attempt_id
         config = self._configuration.current
         if config is None:
             return NotRun(
@@ -155,9 +155,9 @@
     def _refuse_unknown(self, reason: Reason, detail: str) -> NotRun:
         """Refuse a request whose route or key is unknown.
 
-        While our configuration may be outdated, ask the caller to retry: a
-        caller that is told "unknown" does not, though a newer configuration
-        may have its route or key.
+        While the configuration may be outdated, ask the caller to retry.  A
+        caller told "unknown" would not, though a newer configuration may have
+        its route or key.
         """
         if self.version_age() <= MAX_CONFIRMED_AGE_SECONDS:
             return NotRun(reason=reason, detail=detail)
@@ -168,7 +168,7 @@
         )
 
     def version_age(self) -> float:
-        """Return the seconds since our version was confirmed as newest."""
+        """Return the seconds since the version was confirmed as newest."""
         return self._clock() - self._configuration.confirmed_at
 
 
--- a/marigoldramp/gateway/attempts.py
+++ b/marigoldramp/gateway/attempts.py
@@ -22,8 +22,8 @@
 #: it is safe to try another endpoint.
 CONNECT_TIMEOUT_SECONDS = 0.4
 #: Seconds for which a connection may have been idle before it is used for a
-#: request that must not be repeated.  If the endpoint closes it at that moment
-#: the outcome is unknown and the caller gets a 502.
+#: request that must not be repeated.  If the endpoint closes it just then, the
+#: outcome is unknown and the caller gets a 502.
 MAX_IDLE_UNREPEATABLE_SECONDS = 0.0
 #: The same for other requests.
 MAX_IDLE_REPEATABLE_SECONDS = 60.0
@@ -65,7 +65,7 @@
 class Answer:
     """A complete response that has not been passed on yet.
 
-    :ivar framed: its end is not marked by the end of the connection.
+    :ivar framed: a length or chunks mark its end.
     """
 
     status: int
@@ -278,10 +278,7 @@
 
 
 def _find_response_fault(call: calls.Call, facts: codecs.AnswerFacts) -> str:
-    """Return why a response cannot be the endpoint's to this request.
-
-    Return an empty string if it can be.
-    """
+    """Return why a response is not accepted, empty if it is."""
     if facts.attempt_id != call.facts.attempt_id:
         return f'response to another request: {facts.attempt_id!r}'
     if not facts.signed:
--- a/marigoldramp/gateway/call_cancellations.py
+++ b/marigoldramp/gateway/call_cancellations.py
@@ -1,8 +1,8 @@
 """Cancels requests that are already being served when they become blocked.
 
 A request is blocked when a second endpoint process ends while running it.
-Copies of it may then be waiting for a slot here or in an endpoint's own queue,
-and each would end another endpoint as soon as it starts.
+Copies of it may then be queued in this gateway or at an endpoint, and each
+would end another endpoint as soon as it starts.
 """
 
 import contextlib
--- a/marigoldramp/gateway/call_deadlines.py
+++ b/marigoldramp/gateway/call_deadlines.py
@@ -11,23 +11,24 @@
 from . import calls
 from . import deployment
 
-#: Length of a window over which stated times are compared.  Callers of a route
+#: Length of a window in which stated times are compared.  Callers of a route
 #: state the same time, less what they have already used of it.
 WINDOW_SECONDS = 10.0
 #: Share of a route's objective within which a request must get a slot to be
-#: answered in time.  The rest is for reading the prompt, which in the median
-#: takes 0.17 s of an objective of 0.4 s.
+#: answered in time.  The rest is for reading the prompt, which typically takes
+#: 0.17 s of an objective of 0.4 s in benchmark runs.
 ON_TIME_START_SHARE = 0.55
 #: Share of its time budget that a request waits for its first slot.
 MAX_WAIT_SHARE = 0.6
-#: Callers wait for an event of a stream, also the first one, for the longest
-#: of this many seconds, objectives of the route and accepted pauses.  The
-#: values are those of the platform's protocol.
+#: Callers wait for each event of a stream, also the first, for the longest of
+#: three times: these seconds, this multiple of the route's objective and this
+#: multiple of its accepted pause.  The platform's protocol sets the values.
 MIN_EVENT_TIMEOUT_SECONDS = 2.0
 EVENT_TIMEOUT_OBJECTIVES = 4.0
 EVENT_TIMEOUT_PAUSES = 8.0
-#: Seconds of that time kept for a stream's first event: the 90th percentile
-#: of the time from getting a slot to the first event under load.
+#: Seconds of that wait reserved for a stream's first event: the 90th
+#: percentile of the time from getting a slot to the first event in benchmark
+#: runs under load.
 FIRST_EVENT_SECONDS = 0.4
 
 
--- a/marigoldramp/gateway/calls.py
+++ b/marigoldramp/gateway/calls.py
@@ -60,7 +60,7 @@
         """When the head of the request was complete."""
         return self.exchange.head.arrived
 
-    def avoid(self, identity: str) -> None:
+    def exclude_endpoint(self, identity: str) -> None:
         """Exclude an endpoint from further attempts."""
         self.excluded_endpoints |= {identity}
 
--- a/marigoldramp/gateway/circuit_breakers.py
+++ b/marigoldramp/gateway/circuit_breakers.py
@@ -16,8 +16,8 @@
 
 #: Consecutive failures of the endpoints of a service that trip its breaker.
 FAILURE_THRESHOLD = 3
-#: Seconds before the next trial by a request that was never sent, and by one
-#: that was, as only the latter spends the retry budget.
+#: Seconds from a trial to the next one, by a request that was never sent and
+#: by one that was; only the latter spends the retry budget.
 TRIAL_INTERVAL_SECONDS = 0.15
 REPEATED_TRIAL_INTERVAL_SECONDS = 0.6
 
--- a/marigoldramp/gateway/concurrency_limits.py
+++ b/marigoldramp/gateway/concurrency_limits.py
@@ -1,9 +1,9 @@
 """Limits the concurrency of a group so that its streams do not pause too long.
 
 All ranks of an expert-parallel group run each forward pass together, and a
-pass takes longer the more requests run.  One pass that exceeds the longest
-pause that callers accept makes *every* stream in flight late.  Running a few
-requests less keeps all of them in time, at the price of a longer queue.
+pass takes longer the more requests run.  One pass just over the longest pause
+that callers accept makes *every* stream in flight late.  Running a few
+requests fewer keeps all of them in time, at the price of a longer queue.
 
 The limit must suit the longest passes: those after a shift of expert demand,
 while the load of the ranks is imbalanced and experts are copied.  A limit that
@@ -21,17 +21,18 @@
 #: Share of the accepted pause that a pass may take; the rest covers the
 #: transfer to the caller.
 MAX_PASS_SHARE = 0.97
-#: Passes of the last seconds that determine the limit: a few shifts of expert
-#: demand, which occur every 2 to 4 s.
+#: Seconds over which recent passes determine the limit.  They span a few
+#: shifts of expert demand, which occur every 2 to 4 s.
 HORIZON_SECONDS = 10.0
-#: Share of these passes that may be too long: one in a hundred, as a gateway
-#: process may read an event late.  One in 25 admits the pass during which
-#: experts are copied, which makes two of three streams late.
+#: Share of these passes that may be too long, rounded down: one of a hundred
+#: passes, as a gateway may read an event late.  One in 25 admits the pass
+#: during which experts are copied, and two of three streams are then late.
 MAX_LATE_PASS_SHARE = 0.015
 #: Share of the slots that is used however long the pauses are.
 MIN_SLOT_SHARE = 0.6
-#: Longest pause that counts, in accepted pauses.  A group that stops for a
-#: change of its expert map or a dead rank does not show its capacity.
+#: Longest pause that affects the limit, as a multiple of the accepted pause.
+#: A group that stops for a change of its expert map or a dead rank does not
+#: show its capacity.
 MAX_PAUSE_RATIO = 2.0
 #: Seconds for which passes are ignored after one that no limit would have kept
 #: within the accepted pause; the length of a few such passes.
@@ -66,7 +67,7 @@
         ``None`` if there are none.
     :param accepted_pause: returns the longest pause that callers accept, 0 if
         none is known; used before the first pass.
-    :ivar pause_ratio: moving average of the pauses, in accepted pauses.
+    :ivar pause_ratio: moving average of pauses over the accepted pause.
     :ivar pass_times: recent pass times of its group.
     """
 
@@ -156,9 +157,9 @@
         self._first_pass_at = min(self._first_pass_at, now)
         limit = self._find_pass_limit(seconds)
         if limit < MIN_SLOT_SHARE * self._slots:
-            # At the minimum limit, or at the limit of earlier passes, a group
-            # with a slow rank is still late, and has a queue of several
-            # seconds once the rank has recovered.
+            # Neither the minimum limit nor that of earlier passes keeps a
+            # group with a slow rank in time, and either leaves a queue of
+            # several seconds once the rank has recovered.
             self._pass_limits.clear()
             self._ignore_until = now + IGNORE_SECONDS
         if now < self._ignore_until:
@@ -178,7 +179,7 @@
 
         The time beyond that of an empty pass is proportional to the requests.
         A pass with few requests does not show the limit, as most of it goes
-        into reading the prompts of new ones.
+        into reading the prompts of new requests.
         """
         max_pass = MAX_PASS_SHARE * self._accepted_pause
         empty_pass = min(self._empty_pass_seconds(), max_pass)
--- a/marigoldramp/gateway/dependency_health.py
+++ b/marigoldramp/gateway/dependency_health.py
@@ -6,19 +6,19 @@
 
 from .. import logs
 
-#: Longest retry delay of a gateway, in delays of the first one.
+#: Longest retry delay of a gateway, as a multiple of the first gateway's.
 MAX_RETRY_FACTOR = 5
 
 
 def scale_retry_delay(seconds: float, *, position: int) -> float:
     """Return how long a gateway waits before it tries the store again.
 
-    Each further gateway waits once more the delay of the first, as rejected
-    calls to the store are charged too, and gateways learn from each other what
-    one of them reads.
+    Each gateway waits longer than the one before by the delay of the first.
+    Rejected calls to the store are charged too, and gateways learn from each
+    other what one of them reads.
 
     :param seconds: the delay of the first gateway.
-    :param position: our position among the gateways that exchange reports
+    :param position: position of this gateway among those that exchange reports
         often, 0 for the first.
     """
     return seconds * min(MAX_RETRY_FACTOR, 1 + position)
--- a/marigoldramp/gateway/dispatch.py
+++ b/marigoldramp/gateway/dispatch.py
@@ -40,7 +40,7 @@
     :ivar avoid: endpoints that must not be used.
     :ivar repeated: the request was sent before.
     :ivar suspect: fingerprint of the request if an endpoint process ended
-        while it ran such a request, otherwise empty.
+        while running such a request, otherwise empty.
     """
 
     service: str
@@ -53,7 +53,7 @@
 
     @property
     def has_restrictions(self) -> bool:
-        """Whether it may be unable to use a slot that others can use."""
+        """Whether a slot that others can use may be unusable for it."""
         return bool(self.avoid) or self.repeated or bool(self.suspect)
 
 
@@ -207,12 +207,12 @@
                 waiter.endpoint = endpoint
                 waiter.event.set()
             elif not waiter.request.has_restrictions:
-                # It could use any slot, so the requests behind it get none.
+                # It could use any slot, so none is free for those behind it.
                 break
         self._wake_late_waiters(service, queue)
 
     def _wake_late_waiters(self, service: str, queue: list[_Waiter]) -> None:
-        """Wake requests that no endpoint can start in time."""
+        """Wake requests that no endpoint can start in time, to refuse them."""
         open_time = self._find_open_time(service)
         for waiter in queue:
             if open_time > waiter.request.start_by:
--- a/marigoldramp/gateway/event_frames.py
+++ b/marigoldramp/gateway/event_frames.py
@@ -51,7 +51,7 @@
 def follows(*, identifier: str, last: str) -> bool:
     """Whether an event comes after another one, by numeric identifiers.
 
-    Always true if one of the identifiers is not a number.
+    Always true if an identifier is empty or not a number.
     """
     if not identifier.isdecimal() or not last.isdecimal():
         return True
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -28,7 +28,7 @@
 #: Interval at which a request that waits for the retry budget checks it.
 BUDGET_POLL_SECONDS = 0.2
 MIN_RETRY_AFTER_SECONDS = 0.05
-#: Upper bound of the random delay before a request is retried whose endpoint
+#: Upper bound of the random delay before retrying a request whose endpoint
 #: process ended: several times what an endpoint takes to start a request.
 MAX_STAGGER_SECONDS = 0.2
 
@@ -188,9 +188,9 @@
     async def _await_end_reports(self, call: calls.Call) -> None:
         """Wait for reports of an endpoint's end before retrying a suspect.
 
-        Copies that several gateways send at once go to the same endpoint.  A
-        gateway that finds its port closed would otherwise send its copy on and
-        end the next endpoint.
+        Copies of a suspected request that several gateways send at once go to
+        the same endpoint.  A gateway that finds its port closed would
+        otherwise send its copy to the next endpoint and end that one too.
         """
         match self._containment.decide(call):
             case suspects.Suspected():
@@ -199,9 +199,9 @@
     async def _stagger_retry(self, broken: attempts.Broken) -> None:
         """Wait for a random time after the end of an endpoint's process.
 
-        All its requests would otherwise be retried at once.  Those sent to the
-        same endpoint as the request that ended the process would be lost once
-        more and be suspected of ending it.
+        All requests of the process would otherwise be retried at once.  Those
+        that reach the same endpoint as the one that ended the process would be
+        lost again, and be suspected too.
         """
         if broken.ended:
             await anyio.sleep(self._random.uniform(0.0, MAX_STAGGER_SECONDS))
@@ -264,7 +264,7 @@
                 endpoint.note_failure(now=now)
                 endpoint.quality.note_break(now=now)
                 breaker.note_failure()
-                call.avoid(endpoint.identity)
+                call.exclude_endpoint(endpoint.identity)
         logging.info(
             'attempt failed',
             extra=logs.fields(
@@ -290,7 +290,7 @@
             return False
         if not self._may_run_again(call):
             return False
-        call.avoid(call.endpoint)
+        call.exclude_endpoint(call.endpoint)
         return self._budget.take(call.service)
 
     def _may_run_again(self, call: calls.Call) -> bool:
@@ -302,8 +302,8 @@
     async def _await_budget(self, call: calls.Call) -> bool:
         """Wait for the retry budget and take a retry from it.
 
-        The call's deadline ends the wait.  Waiting costs a stream that was cut
-        off nothing, and its caller cannot retry it.
+        The call's deadline ends the wait.  A stream that was cut off loses
+        nothing by waiting, and its caller cannot retry it.
         """
         while not self._budget.take(call.service):
             await anyio.sleep(BUDGET_POLL_SECONDS)
@@ -313,7 +313,7 @@
         self, call: calls.Call, answer: attempts.Answer
     ) -> str:
         if call.exchange.begun:
-            # A stream was to be resumed, and the response is not a stream.
+            # A stream was to be resumed, but the response is not a stream.
             return 'cut'
         await call.exchange.respond(
             status=answer.status, headers=answer.headers, body=answer.body
@@ -343,7 +343,7 @@
     async def _end_with_refusal(
         self, call: calls.Call, refusal: outcomes.Refusal
     ) -> str:
-        """Refuse a call; never as not run if it may have run."""
+        """Refuse a call, as "not run" only if it cannot have run."""
         if call.exchange.begun:
             return f'cut:{refusal.reason.value}'
         if call.runs and isinstance(refusal, NotRun):
@@ -394,7 +394,7 @@
             logging.info(
                 'request ended',
                 extra=logs.fields(
-                    request=exchange.request,
+                    request=exchange.attempt_id,
                     outcome=outcome,
                     version=self._admission.version,
                     version_age=_round(self._admission.version_age()),
@@ -449,7 +449,8 @@
 def _describe_blocked(decision: suspects.Decision) -> NotRun:
     """Return the refusal of a call whose fingerprint has ended endpoints.
 
-    The fingerprint may have been cleared since the call was cancelled.
+    If the fingerprint was cleared after the call had been cancelled, the
+    retry delay is the minimum.
     """
     retry_after = MIN_RETRY_AFTER_SECONDS
     match decision:
--- a/marigoldramp/gateway/inbound.py
+++ b/marigoldramp/gateway/inbound.py
@@ -73,14 +73,15 @@
 class Exchange:
     """One request and its response.
 
-    :ivar request: the caller's identifier of the attempt, empty while unknown.
+    :ivar attempt_id: identifier of the attempt, set by the caller; empty while
+        unknown.
     :ivar begun: the response head has been sent.
     :ivar ended: the complete response has been sent.
     """
 
     __slots__ = (
         'head',
-        'request',
+        'attempt_id',
         'begun',
         'ended',
         '_is_stopping',
@@ -97,7 +98,7 @@
         is_stopping: Callable[[], bool],
     ) -> None:
         self.head = head
-        self.request = ''
+        self.attempt_id = ''
         self.begun = False
         self.ended = False
         self._is_stopping = is_stopping
@@ -364,7 +365,7 @@
 
 
 def _measure_head(head: Head) -> int:
-    """Return the bytes of a head; h11 limits only those still incomplete."""
+    """Return the bytes of a head; h11 limits only incomplete heads."""
     size = len(head.method) + len(head.target) + len(' HTTP/1.1\r\n') + 1
     return size + sum(
         len(name) + len(value) + len(': \r\n') for name, value in head.headers
--- a/marigoldramp/gateway/outbound.py
+++ b/marigoldramp/gateway/outbound.py
@@ -23,7 +23,8 @@
 MAX_HEAD_BYTES = 65536
 #: Seconds that an idle connection is kept if the endpoint states no time.
 DEFAULT_IDLE_SECONDS = 2.0
-#: Share of the idle time stated by an endpoint for which a connection is used.
+#: Share of the idle time stated by an endpoint after which a connection is no
+#: longer reused.
 IDLE_SHARE = 0.6
 #: Upper bound of the seconds that an idle connection is kept.
 MAX_IDLE_SECONDS = 10.0
@@ -123,7 +124,7 @@
                 )
 
     async def read_chunk(self) -> bytes:
-        """Return the next bytes of the body; none once it is complete.
+        """Return the next bytes of the body, empty once it is complete.
 
         :raises httpcore.NetworkError, h11.ProtocolError: the body is
             incomplete.
@@ -144,9 +145,9 @@
         self._stream.abort()
 
     async def stays_open(self, seconds: float) -> bool:
-        """Close the connection after a time.
+        """Wait, then close the connection.
 
-        Return whether it was still open until then.
+        Return whether the endpoint kept it open until then.
         """
         try:
             with anyio.move_on_after(seconds):
--- a/marigoldramp/gateway/pass_times.py
+++ b/marigoldramp/gateway/pass_times.py
@@ -4,8 +4,8 @@
 running request gets an event from each pass.  The pause between two events of
 any stream therefore shows at once, and at no cost, that passes have slowed
 down: because requests use other experts, or because a rank has become slow.
-On a quiet day, polling the ranks' expert counts every quarter of a second to
-notice the same costs 0.055 of the value served.
+Polling the ranks' expert counts every quarter of a second to notice the same
+lowers the score of a calm benchmark day by 0.055.
 """
 
 import collections
@@ -24,13 +24,13 @@
 MAX_BASELINE_PASSES = 40
 BASELINE_QUANTILE = 0.25
 MIN_BASELINE_PASSES = 5
-#: Factors over the baseline above which passes count as slower: of the whole
-#: pass, and of its time per request.  The latter does not grow with the number
-#: of requests; after shifts in a group of 72 ranks it is 1.9 to 2.3 times
-#: longer.
+#: Multiples of the baseline that a slower pass must exceed: one for its time,
+#: one for its time per request.  The latter does not grow with the number of
+#: requests; after shifts in a group of 72 ranks it is 1.9 to 2.3 times longer.
 SLOWDOWN_FACTOR = 1.25
 REQUEST_SLOWDOWN_FACTOR = 1.45
-#: Share of a pause within which another pause belongs to the same pass.
+#: A pause that ends within this share of its length after the last pass was
+#: recorded belongs to that pass.
 SAME_PASS_SHARE = 0.5
 #: Seconds for which a pass is reported to peers.  The leader of a large group
 #: gets no callers and so has no streams of its own to observe passes on.
@@ -95,8 +95,8 @@
     def last_local(self) -> float:
         """Return the last pass time of a local stream, 0 if there is none.
 
-        Times that peers reported are left out, as peers would otherwise report
-        them back and forth for ever.
+        Times that peers reported are left out, as gateways would otherwise
+        report them back and forth for ever.
         """
         is_new = self._clock() - self._last_local_at <= REPORT_SECONDS
         return self._last_local if is_new else 0.0
--- a/marigoldramp/gateway/routes.py
+++ b/marigoldramp/gateway/routes.py
@@ -25,9 +25,9 @@
                 self._record_accepted_pause(route)
 
     def accepted_pause(self, service: str) -> float:
-        """Return the lowest bound on pauses in streams of a service.
+        """Return the shortest accepted pause of a service's routes.
 
-        The bound is in seconds; return 0 if no route of the service has one.
+        It is in seconds; return 0 if no route of the service has one.
         """
         return self._accepted_pauses.get(service, 0.0)
 
@@ -60,7 +60,7 @@
 def pick_service(
     *, route: deployment.Route, random: random_module.Random
 ) -> str:
-    """Return a random service of the route, by their weights."""
+    """Return a service of the route, chosen at random by weight."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/tests/gateway/fake_endpoint.py
+++ b/tests/gateway/fake_endpoint.py
@@ -26,7 +26,7 @@
     returns false to close the connection.  The last script is used for all
     further requests.
 
-    :ivar seen: received requests, each of which counts as run.
+    :ivar seen: received requests, each of which may have run.
     :ivar arrived: set when the first request has been received.
     :ivar closed: set when a connection has ended.
     """
--- a/tests/gateway/test_call_deadlines.py
+++ b/tests/gateway/test_call_deadlines.py
@@ -29,8 +29,8 @@
         ([(0.0, 8.0)], 8.0),
         ([(0.0, 8.0), (1.0, 6.0)], 8.0),
         ([(0.0, 6.0), (1.0, 8.0)], 8.0),
-        # Callers of the route now state a shorter time; it is known within
-        # two windows.
+        # Callers of the route start to state a shorter time, which is found
+        # within two windows.
         ([(0.0, 8.0), (11.0, 5.0), (22.0, 5.0)], 5.0),
         ([(0.0, 8.0), (11.0, 5.0)], 8.0),
         ([(0.0, 8.0), (90.0, 5.0)], 5.0),
@@ -72,8 +72,8 @@
     """Guards against requests held until their callers give up and retry.
 
     Callers of streams wait two seconds for an event.  After a group has
-    stopped for a while, more requests are queued than it runs in that time; a
-    wait bounded only by a share of the route's timeout loses each of them.
+    stopped for a while, more requests are queued than it runs in that time.
+    If only a share of the route's timeout bounds their wait, each is lost.
     """
     assert call_deadlines.find_latest_start(call) == pytest.approx(expected)
 
@@ -88,11 +88,11 @@
 
 @pytest.mark.anyio
 async def test_retried_request_is_queued_behind_those_on_time():
-    """Guards against overload in which no request is answered in time.
+    """Guards against late responses to all requests under overload.
 
-    Callers retry while their requests are queued.  Treated as new, a retry is
-    served before first attempts that arrive after it, though it is already
-    late.
+    Many could be in time.  Callers retry while their requests are queued.
+    Treated as new, a retry is served before first attempts that arrive after
+    it, though it is already late.
     """
     endpoint_released = anyio.Event()
 
--- a/tests/gateway/test_concurrency_limits.py
+++ b/tests/gateway/test_concurrency_limits.py
@@ -54,7 +54,7 @@
     def run(self, *, seconds, imbalance=1.0, wanted=9.0, extra=0.0):
         """Run passes for a while.
 
-        :param wanted: requests per endpoint that callers have.
+        :param wanted: requests per endpoint that callers would run.
         :param extra: seconds added to each pass.
         """
         until = self.now + seconds
@@ -139,8 +139,8 @@
 ):
     """Guards against full slots before the first pass after a power loss.
 
-    Callers return at once, and the first event shows a pass time only 0.15 s
-    later.  Until then the limit must come from the published figures.
+    Callers reconnect at once, and the first event shows a pass time only
+    0.15 s later.  Until then the limit must come from the published figures.
     """
     group = Group(engine=engine, accepted_pause=accepted_pause)
     assert min_limit <= group.limit <= max_limit
--- a/tests/gateway/test_forwarding.py
+++ b/tests/gateway/test_forwarding.py
@@ -196,8 +196,8 @@
 async def test_request_is_cancelled_when_its_caller_disconnects():
     """Guards against an endpoint that runs a request nobody waits for.
 
-    A caller closes its connection before the response arrives, which must not
-    go unnoticed until then.
+    A caller closes its connection before the response arrives.  The gateway
+    must notice this at once and not only when the response arrives.
     """
     one = make_endpoint('i-1', fake.hang)
     async with site.run_site(one) as running:
@@ -285,7 +285,7 @@
     """Guards against sending queued requests to a stopping endpoint.
 
     A request waits for a slot when the endpoint reports that it is shutting
-    down.  Not only new requests must take this into account.
+    down.  Queued requests must avoid the endpoint as well as new ones.
     """
     release = anyio.Event()
 
--- a/tests/gateway/test_pass_times.py
+++ b/tests/gateway/test_pass_times.py
@@ -18,7 +18,7 @@
 def run_passes(times, clock, rng, *, seconds, typical, prompt_factor):
     """Simulate passes, one in eight of which reads a long prompt.
 
-    Return after each pass whether passes count as slower.
+    Return for each pass whether passes counted as slower after it.
     """
     observed = []
     until = clock.now + seconds
@@ -72,7 +72,7 @@
 
     Expert demand shifts every 2 to 4 s and passes are slow for most of that
     time.  The median of the last 20 passes is then a slow one, and compared
-    with it a later shift goes unnoticed.
+    with it the shift after next goes unnoticed.
     """
     clock = Clock()
     times = pass_times.PassTimes(clock=clock)
@@ -110,9 +110,9 @@
 
 @pytest.mark.parametrize('max_running', [2.0, 3.0, 5.0])
 def test_more_requests_are_not_a_slowdown(max_running):
-    """Guards against polling expert counts each half second for nothing.
+    """Guards against needless polling of expert counts each half second.
 
-    While callers return, requests in flight grow from one to five on an
+    While callers reconnect, requests in flight grow from one to five on an
     endpoint and passes become longer with them, at unchanged expert demand.
     Passes must be compared per request.
     """
