--- a/marigoldramp/gateway/call_deadlines.py
+++ b/marigoldramp/gateway/call_deadlines.py
@@ -16,7 +16,7 @@
 WINDOW_SECONDS = 10.0
 #: Share of a route's objective within which a request must get a slot to be
 #: answered in time.  The rest is for reading the prompt, which typically takes
-#: 0.17 s of an objective of 0.4 s in benchmark runs.
+#: 0.17 s of an objective of 0.4 s.
 ON_TIME_START_SHARE = 0.55
 #: Share of its time budget that a request waits for its first slot.
 MAX_WAIT_SHARE = 0.6
@@ -27,8 +27,7 @@
 EVENT_TIMEOUT_OBJECTIVES = 4.0
 EVENT_TIMEOUT_PAUSES = 8.0
 #: Seconds of that wait reserved for a stream's first event: the 90th
-#: percentile of the time from getting a slot to the first event in benchmark
-#: runs under load.
+#: percentile of the time from getting a slot to the first event under load.
 FIRST_EVENT_SECONDS = 0.4
 
 
--- a/marigoldramp/gateway/demand_watch.py
+++ b/marigoldramp/gateway/demand_watch.py
@@ -20,30 +20,30 @@
 
 #: Time after a shift for which counts are collected before the first plan.
 #: With the interval between batches the window is 0.2 s.  Plans from a window
-#: twice as long leave a skew of 1.26 to 1.29; these leave 1.20 to 1.31, 0.1 s
-#: sooner.
+#: twice as long leave a skew of 1.26 to 1.29; plans from this one leave 1.20
+#: to 1.31, 0.1 s sooner.
 MEASURE_WINDOW_SECONDS = 0.1
 #: Time after the first plan when more counts allow a better one.
 REFINE_AFTER_SECONDS = 0.8
 #: Interval between plans while no shift is detected.
 REPLAN_INTERVAL_SECONDS = 3.0
-#: Bounds the interval between reads while nothing has been counted.
+#: Maximum interval between reads while nothing has been counted.
 MAX_INITIAL_READ_INTERVAL_SECONDS = 0.4
-#: Time without shift detection by pass durations after a check that showed
-#: none.
+#: Time after a check that showed no shift for which slower passes do not cause
+#: another check.
 SHIFT_CHECK_COOLDOWN_SECONDS = 0.5
 #: Ranks are read in batches of this size, about one pass apart.
 MAX_CONCURRENT_READS = 6
 READ_BATCH_INTERVAL_SECONDS = 0.1
 #: Time for which reads may pause the group in one pass, and its pause for each
 #: counter of a rank that is read.  With 192 ranks of 3,840 counters, six reads
-#: at once add 29 ms to a pass of 0.12 s, of which callers accept 0.15 s: each
-#: batch would make all streams late.
+#: at once add 29 ms to a pass of 0.12 s, while callers accept pauses of
+#: 0.15 s: each batch would make all streams late.
 MAX_READ_PAUSE_SECONDS = 0.01
 PAUSE_SECONDS_PER_COUNTER = 0.0005 / 400
 
 
-#: Returns the skew of the map in force for the demand of a window alone.
+#: Returns the skew of the map in force if demand is as counted in a window.
 SkewFunction = Callable[[expert_demand.Window], float]
 
 
@@ -132,9 +132,9 @@
     ) -> bool:
         """Collect the first counts of a group; return whether there are any.
 
-        All callers come back at once to a group that has lost its leader and
-        still has the map of some seconds ago.  Waiting for the next read of
-        one rank would leave them that map for another second.
+        When a group has lost its leader, all callers come back at once, and
+        its map is some seconds old.  Waiting for the next read of one rank
+        would leave that map in force for another second.
         """
         if self.demand.has_counts() or not self._is_read_due(
             min(interval, MAX_INITIAL_READ_INTERVAL_SECONDS)
@@ -207,13 +207,13 @@
     async def check(
         self,
         names: list[str],
-        monitored: int,
+        monitored_count: int,
         interval: float,
         compute_skew: SkewFunction,
     ) -> ReplanReason:
         """Read counts if a read is due; return why a new plan is needed.
 
-        :param monitored: number of ranks read while nothing changes.
+        :param monitored_count: number of ranks read while nothing changes.
         """
         if not self._is_read_due(interval):
             return ReplanReason.NONE
@@ -228,15 +228,15 @@
         )
         if due:
             window = await self._read_ranks(names)
-        elif monitored > 1:
-            window = await self._read_ranks(names[:monitored])
+        elif monitored_count > 1:
+            window = await self._read_ranks(names[:monitored_count])
         else:
             window = await self._read_one(names[0])
         if self._shows_shift(window, thresholds, compute_skew):
             if await self.measure(names, compute_skew):
                 return ReplanReason.SHIFTED
-            # A first plan made from few counts can look like a shift, too, and
-            # still has to be refined.
+            # After a first plan from few counts a window can look like a shift
+            # without one; the plan still has to be refined.
         self._add(window)
         if not due or not self.demand.has_counts():
             return ReplanReason.NONE
@@ -291,10 +291,10 @@
 
     def _limit_concurrent_reads(self) -> int:
         """Return the maximum number of ranks to read in one pass."""
-        interval = PAUSE_SECONDS_PER_COUNTER * self.demand.counter_count
+        pause = PAUSE_SECONDS_PER_COUNTER * self.demand.counter_count
         return max(
             1,
-            min(MAX_CONCURRENT_READS, int(MAX_READ_PAUSE_SECONDS / interval)),
+            min(MAX_CONCURRENT_READS, int(MAX_READ_PAUSE_SECONDS / pause)),
         )
 
     async def _request_counts(self, name: str) -> ranks.RankCounts | None:
--- a/marigoldramp/gateway/expert_demand.py
+++ b/marigoldramp/gateway/expert_demand.py
@@ -1,9 +1,9 @@
 """Estimates the demand for each expert of a group from counts of a few ranks.
 
-Demand shifts at once: 35 to 50 % of the choices go to other experts and stay
-there for seconds.  Counts from before a shift say nothing about the demand
-after it, so they are all dropped.  An average over some seconds makes two map
-changes necessary for each shift, the first of which leaves a skew of 1.2 to
+Demand shifts abruptly: 35 to 50 % of the choices of experts go to others and
+stay there for seconds.  Counts from before a shift say nothing about the
+demand after it, so they are all dropped.  An average over some seconds would
+need two map changes for each shift, the first of which leaves a skew of 1.2 to
 1.5.
 
 Counts of one rank vary between windows with the topics of its requests; a
@@ -19,22 +19,22 @@
 
 #: A window with fewer counts per expert on average is too small to use.
 MIN_COUNTS_PER_EXPERT = 8
-#: Bounds of the distance that indicates a shift: the part of the choices that
-#: moved to other experts.  Windows of 0.2 s of one of 16 ranks differ by 0.06
-#: to 0.17 without a shift, and by 0.31 to 0.50 after one.  The lower bound
-#: applies where noise is low.
+#: Bounds of the distance above which a window shows a shift.  The distance is
+#: the part of the choices that moved to other experts.  Windows of 0.2 s of
+#: one of 16 ranks differ by 0.06 to 0.17 without a shift, and by 0.31 to 0.50
+#: after one.  The lower bound applies where noise is low.
 MAX_DISTANCE_THRESHOLD = 0.22
 MIN_DISTANCE_THRESHOLD = 0.08
-#: Bounds of the excess skew that indicates a shift: the skew of the map in
-#: force for a window, less the planned skew.  With 192 ranks a shift moves 0.1
-#: of the choices, as noise does, but some of them to one rank, so that a skew
-#: of 1.1 becomes 1.6 to 2.4.  With 16 ranks it becomes 2.4 to 3.2, and windows
-#: of 0.2 s show up to 1.6 without a shift.
+#: Bounds of the excess skew above which a window shows a shift.  The excess
+#: skew is the skew of the map in force for a window, less the planned skew.
+#: With 192 ranks a shift moves 0.1 of the choices, as noise does, but some of
+#: them to one rank, so that a skew of 1.1 becomes 1.6 to 2.4.  With 16 ranks
+#: it becomes 2.4 to 3.2, and windows of 0.2 s show up to 1.6 without a shift.
 MAX_EXCESS_SKEW_THRESHOLD = 0.8
 MIN_EXCESS_SKEW_THRESHOLD = 0.35
-#: Factor by which a window has to differ more than windows typically do.
+#: Multiple of the typical difference above which a window shows a shift.
 NOISE_FACTOR = 1.8
-#: Weight of the newest difference in the moving average.
+#: Weight of the newest difference in the moving average of differences.
 NOISE_SMOOTHING = 0.2
 #: Age at which a count has half its weight.
 HALF_LIFE_SECONDS = 3.0
--- a/marigoldramp/gateway/expert_planner.py
+++ b/marigoldramp/gateway/expert_planner.py
@@ -1,8 +1,9 @@
 """Decides when to change the expert map of a group, and to what.
 
 Reading counts has a cost and pauses the group, so while nothing changes only
-one rank is read, about once a second.  When forward passes get slower, a few
-ranks are sampled again and the plan uses only these new counts.
+one rank is read, or a few of a large group, about once a second.  When forward
+passes get slower, a few ranks are sampled again and the plan uses only these
+new counts.
 """
 
 import math
@@ -27,7 +28,7 @@
 from . import pass_times
 from . import ranks
 
-#: Time after which a plan attempt ends, so that the leader checks the group.
+#: Duration of one planning attempt, after which the leader checks the group.
 MAX_PLAN_SECONDS = 1.0
 #: Interval between reads of the ranks that are monitored.
 READ_INTERVAL_SECONDS_AT_LOW_UTILIZATION = 2.0
@@ -44,46 +45,49 @@
 #: large group run fewer requests each, so more of them are sampled.
 SAMPLED_SLOTS_AT_LOW_UTILIZATION = 12.0
 SAMPLED_SLOTS_AT_HIGH_UTILIZATION = 36.0
-#: Bounded because ranks are read one after the other where each read pauses
-#: the group for long.
+#: Bounds the time of sampling in a group that each read pauses for long, where
+#: ranks are read one after the other.
 MAX_SAMPLED_RANKS = 6
 #: Time that the copies of one change may take on any rank.  With 72 ranks, 144
 #: experts and 12 layers, five copies of 0.016 s per rank reduce a skew of 3.2
-#: to 1.14, and seven to 1.11; passes take 15 % longer while copies run, and
-#: those are the longest passes of all.
+#: to 1.14, and seven to 1.11.  Passes take 15 % longer while copies run, when
+#: the skew already makes them the longest of all.
 MAX_COPY_SECONDS = 0.09
-#: A rank may exceed MAX_COPY_SECONDS by this many copies, if they take no
-#: longer than this.  With three copies of 0.11 s per rank, the skew of a group
-#: of 16 falls from between 2.3 and 3.8 to between 1.12 and 1.2.
+#: Copies that a rank may make even if they exceed MAX_COPY_SECONDS, and the
+#: time that these may take.  With three copies of 0.11 s per rank, the skew of
+#: a group of 16 falls from between 2.3 and 3.8 to between 1.12 and 1.2.
 MAX_LONG_COPIES = 3
 MAX_LONG_COPY_SECONDS = 0.36
-#: Reduction of the mean skew for which a map is changed; a change takes some
-#: forty orders.
+#: Minimum reduction of the mean skew for which a map is changed, as a change
+#: takes some forty orders.
 MIN_GAIN_AT_LOW_UTILIZATION = 0.35
 MIN_GAIN_AT_HIGH_UTILIZATION = 0.08
-#: Reduction of the mean skew for which a plan is refined by what was counted
-#: since the first plan after a shift.  Shifts are not detected for 0.5 s after
-#: each change, until reports show it: demand that shifts in that time is
-#: planned for after 1.2 s instead of 0.6 s.  A reduction from 1.25 to 1.07
-#: takes as many copies as one from 3.0 to 1.17.
+#: Minimum reduction of the mean skew for which the first plan after a shift is
+#: refined with newer counts.  For 0.5 s after each change, until reports show
+#: it, no shift is detected: the plan for a shift in that time is made 1.2 s
+#: after the shift instead of 0.6 s.  A reduction from 1.25 to 1.07 takes as
+#: many copies as one from 3.0 to 1.17.
 MIN_REFINEMENT_GAIN = 0.25
-#: Reduction of the mean skew required for one copy on each rank.  A copy costs
-#: the same at any utilization, but an even group serves many more requests in
-#: time when it is full.  In a larger group one copy costs a smaller part of
-#: what is served.
+#: Minimum reduction of the mean skew if each rank copies one expert.  A single
+#: copy requires this divided by the number of ranks, as in a larger group it
+#: costs a smaller part of what is served.  A copy costs the same at any
+#: utilization, but an even group serves many more requests in time when it is
+#: full.
 MIN_GAIN_PER_COPY_AT_LOW_UTILIZATION = 0.4
 MIN_GAIN_PER_COPY_AT_HIGH_UTILIZATION = 0.0224
-#: Duration of a copy for which these hold; they are scaled down for quicker
-#: copies, to no less than this factor.  Where a copy takes 2.6 ms, an even map
-#: is cheap at low utilization too, and keeps requests in time when the group
-#: is full and demand shifts.
+#: Duration of a copy for which the minimum per copy applies, and the smallest
+#: factor by which it is reduced for quicker copies.  Where a copy takes
+#: 2.6 ms, an even map is cheap at low utilization too, and keeps requests in
+#: time when demand shifts while load rises.
 REFERENCE_COPY_SECONDS = 0.11
 MIN_COPY_COST_FACTOR = 0.15
-#: Bounds between which the values above are interpolated.  Utilization is the
-#: part of the group's concurrency limit that is in use or the pauses of its
-#: streams as a part of the accepted ones, whichever is higher.  The limit
-#: counts instead of the slots: a group that is limited below its slots because
-#: of its pauses needs an even map most, and its pauses no longer show it.
+#: Utilization up to which the values for low utilization apply, and from which
+#: on those for high utilization do; between them values are interpolated.
+#: Utilization is the share of the group's concurrency limit that is in use, or
+#: the ratio of its streams' pauses to the accepted pause, whichever is higher.
+#: The share is not of the slots: a group that is limited below its slots
+#: because of long pauses needs an even map most, but its pauses no longer show
+#: it.
 LOW_UTILIZATION = 0.4
 HIGH_UTILIZATION = 0.65
 #: Moves tried in one layer for each rank, and other ranks tried for each move.
@@ -162,7 +166,7 @@
         expert_map: expert_maps.ExpertMap,
         client: map_client.GroupClient,
     ) -> map_changes.Plan | None:
-        """Monitor demand for a while; return the change to make, if any."""
+        """Monitor demand briefly; return the change to make, if any."""
         until = self._clock() + MAX_PLAN_SECONDS
 
         def compute_skew(window: expert_demand.Window) -> float:
@@ -210,13 +214,15 @@
         # Slow ranks get no requests, so their counts do not change.
         slow = {client.find_agent(rank) for rank in self._slow_ranks()}
         names = sorted(client.members())
-        known = [name for name in names if name not in slow] or names
+        candidates = [name for name in names if name not in slow] or names
         slots = _interpolate(
             utilization,
             SAMPLED_SLOTS_AT_LOW_UTILIZATION,
             SAMPLED_SLOTS_AT_HIGH_UTILIZATION,
         )
-        return known[: min(MAX_SAMPLED_RANKS, math.ceil(slots / self._slots))]
+        return candidates[
+            : min(MAX_SAMPLED_RANKS, math.ceil(slots / self._slots))
+        ]
 
     def _has_new_slow_ranks(self) -> bool:
         """Return whether ranks became slow since the last plan."""
@@ -256,9 +262,9 @@
 
     def _choose_read_interval(self, utilization: float) -> float:
         """Return the seconds between reads of counts."""
-        part = MAX_RANKS_FOR_FULL_INTERVAL / self._shape.ranks
-        part = min(1.0, max(MIN_INTERVAL_FACTOR, part))
-        return part * _interpolate(
+        factor = MAX_RANKS_FOR_FULL_INTERVAL / self._shape.ranks
+        factor = min(1.0, max(MIN_INTERVAL_FACTOR, factor))
+        return factor * _interpolate(
             utilization,
             READ_INTERVAL_SECONDS_AT_LOW_UTILIZATION,
             READ_INTERVAL_SECONDS_AT_HIGH_UTILIZATION,
@@ -274,11 +280,11 @@
             MIN_GAIN_PER_COPY_AT_LOW_UTILIZATION,
             MIN_GAIN_PER_COPY_AT_HIGH_UTILIZATION,
         )
-        part = 1.0
+        factor = 1.0
         if self._copy_seconds:
-            part = self._copy_seconds / REFERENCE_COPY_SECONDS
-        part = min(1.0, max(MIN_COPY_COST_FACTOR, part))
-        return gain * part * self._shape.layers / self._shape.ranks
+            factor = self._copy_seconds / REFERENCE_COPY_SECONDS
+        factor = min(1.0, max(MIN_COPY_COST_FACTOR, factor))
+        return gain * factor * self._shape.layers / self._shape.ranks
 
     def _evacuate(
         self,
@@ -402,7 +408,10 @@
     popularity: Sequence[float],
     slow: dict[int, float],
 ) -> float:
-    """Return the time of the slowest rank over the mean of the others."""
+    """Return the longest rank time over that of an even map.
+
+    An even map spreads the load over the ranks that are not slow.
+    """
     loads = expert_maps.rank_loads(layer=layer, popularity=popularity)
     total = sum(loads)
     if total <= 0.0:
--- a/marigoldramp/gateway/group_lease.py
+++ b/marigoldramp/gateway/group_lease.py
@@ -6,16 +6,16 @@
 
 
 class GroupLease(leases.LeaseWrapper):
-    """A lease that is kept while the store is away.
+    """A lease that is kept while the store is unavailable.
 
-    A leader that stops when it cannot renew leaves a group with the map that
-    it has, for as long as the store turns it away: seen as six seconds in
-    which each shift of what requests ask for makes nearly all streams late.
-    That two leaders never make ranks use different maps does not rest on the
-    lease, but on what ranks refuse; the lease only keeps them from working
-    against each other.  So a leader continues until a peer is known to lead.
+    If a leader stops when it cannot renew its lease, the map of its group does
+    not change while the store rejects it: for six seconds each shift of expert
+    demand makes nearly all streams late.  Continuing is safe, as ranks refuse
+    the orders that would make them use different maps under two leaders; the
+    lease only keeps two leaders from working against each other.  So a leader
+    continues until a peer is known to lead.
 
-    :param led_by_peers: whether another instance reports that it leads.
+    :param led_by_peers: whether another gateway reports that it leads.
     """
 
     __slots__ = ('_led_by_peers',)
@@ -27,7 +27,7 @@
         self._led_by_peers = led_by_peers
 
     def held(self) -> bool:
-        """Whether we go on leading."""
+        """Return whether this gateway may continue to lead."""
         if self._lease.held():
             return True
         return self._lease.is_unchallenged() and not self._led_by_peers()
--- a/marigoldramp/gateway/group_members.py
+++ b/marigoldramp/gateway/group_members.py
@@ -39,7 +39,7 @@
 class GroupMembers:
     """The groups of ranks that endpoints report."""
 
-    __slots__ = ('_api', '_table', '_members', '_groups', '_first_seen')
+    __slots__ = ('_api', '_table', '_members', '_groups', '_seen_order')
 
     def __init__(
         self, *, api: ranks.RankApi, table: endpoints.EndpointTable
@@ -48,7 +48,7 @@
         self._table = table
         self._members: dict[str, dict[str, _Membership]] = {}
         self._groups: dict[str, Group] = {}
-        self._first_seen: dict[str, int] = {}
+        self._seen_order: dict[str, int] = {}
 
     def __iter__(self) -> Iterator[Group]:
         return iter(list(self._groups.values()))
@@ -64,8 +64,8 @@
     async def refresh(self, service: str) -> None:
         """Request the group of each endpoint that has not reported it yet.
 
-        Asking all endpoints at each change, while they start one after the
-        other, would be half of all requests to a large group in a day.
+        Endpoints start one after the other.  Asking all of them whenever one
+        starts would be half of the queries that a large group gets in a day.
         """
         known = self._drop_replaced(self._table.list_for_service(service))
         names = {endpoint.identity for endpoint in known}
@@ -121,23 +121,23 @@
         """Return the newest endpoint at each address.
 
         A crashed endpoint stays registered for some seconds.  If it restarts
-        at the same address, the new process answers for both, so that two
-        endpoints seem to run one rank; the group would not be led until the
-        old registration expires.
+        at the same address, the new process answers for both registrations.
+        Two endpoints would seem to run one rank, and the group would not be
+        led until the old registration expires.
         """
         newest: dict[outbound.Address, endpoints.Endpoint] = {}
         for endpoint in known:
             name = endpoint.identity
-            self._first_seen.setdefault(name, len(self._first_seen))
+            self._seen_order.setdefault(name, len(self._seen_order))
             other = newest.setdefault(endpoint.address, endpoint)
             if self._start_order(other) < self._start_order(endpoint):
                 newest[endpoint.address] = endpoint
         return list(newest.values())
 
     def _start_order(self, endpoint: endpoints.Endpoint) -> tuple[int, int]:
-        """Return the sort key of starts at one address."""
-        first_seen = self._first_seen[endpoint.identity]
-        return endpoint.record.born, first_seen
+        """Return a sort key: endpoints that started later come last."""
+        seen_order = self._seen_order[endpoint.identity]
+        return endpoint.record.born, seen_order
 
 
 def _has_reported(
--- a/marigoldramp/gateway/leader_election.py
+++ b/marigoldramp/gateway/leader_election.py
@@ -1,12 +1,11 @@
-"""Elects a gateway instance as the leader of each group of ranks.
+"""Elects a gateway as the leader of each group of ranks.
 
 A leader holds a lease in the store, whose fencing number makes ranks refuse an
 older leader; for ranks that check no number, see
 :mod:`marigoldramp.map_decisions_unfenced`.  Contending for a lease costs store
-calls, so only one instance contends: the first in an order on which all agree,
-among those that are heard and eligible, and only while no instance reports
-that it leads.  Where instances disagree about which one that is, the lease
-decides.
+calls, so only one gateway contends: the first in an order on which all agree,
+among those that are heard and eligible, and only while no gateway reports that
+it leads.  Where gateways disagree about which one is first, the lease decides.
 """
 
 from typing import Callable
@@ -33,17 +32,17 @@
 from . import rank_transport
 from . import ranks
 
-#: Interval between checks of which instance should lead.
+#: Interval between checks of which gateway should lead.
 CHECK_INTERVAL_SECONDS = 0.2
 #: Duration of a lease, and interval between its renewals.
 LEASE_SECONDS = 3.0
 RENEW_INTERVAL_SECONDS = 1.2
-#: Time for which the holder of a lease has to report that it does not lead,
-#: before its lease is taken to be from before its restart.  Reports are more
-#: frequent.
+#: Time for which the holder of a lease has to report that it does not lead
+#: before others assume that it took the lease before a restart.  Reports are
+#: more frequent.
 MIN_NOT_LEADING_SECONDS = 0.4
 #: Time without a reply from the ranks after which a leader lets another
-#: instance try, and for which it does not contend itself.
+#: gateway try, and time for which it then does not contend itself.
 MAX_UNREACHED_SECONDS = 3.0
 INELIGIBLE_SECONDS = 10.0
 #: Timing of a leader, see :class:`.map_reconciliation.Timing`; its planner
@@ -57,7 +56,7 @@
 
 
 class _Candidacy:
-    """The lease of one group, held or contended for here, and its leader."""
+    """A lease held or contended for by this gateway, with its leader."""
 
     __slots__ = ('group', 'leader', 'lease', 'scope', 'unreached_since')
 
@@ -80,21 +79,22 @@
 
     :param services: returns the services now configured.
     :param fenced: whether ranks refuse orders of older leaders.
-    :param eligible_peers: returns the instances that are heard and eligible,
+    :param eligible_peers: returns the gateways that are heard and eligible,
         without those much weaker than the strongest.
-    :param has_stronger_peer: whether one of them is much stronger than this.
+    :param has_stronger_peer: whether one of them is much stronger than this
+        gateway.
     :param pause_share: returns the pauses of a service's streams, as a part of
         the accepted ones.
     :param passes: returns how long the passes of a service's group last.
     :param concurrency_limit: returns how many requests an endpoint of a
         service may run, by its slots.
     :param led_by_peers: returns the groups that peers report to lead.
-    :param denies_leading: whether an instance reports that it does not lead a
+    :param denies_leading: whether a gateway reports that it does not lead a
         group.
-    :param is_gone: whether an instance is assumed to have ended.  The next
+    :param is_gone: whether a gateway is assumed to have ended.  The next
         leader then does not wait for its lease to expire, as ranks never use
         different maps even with two leaders at once.
-    :param is_store_reachable: whether the store answers this instance.
+    :param is_store_reachable: whether the store answers this gateway.
     """
 
     __slots__ = (
@@ -167,9 +167,9 @@
 
     @property
     def eligible(self) -> bool:
-        """Whether we may lead; reported to peers.
+        """Whether this gateway may lead; reported to peers.
 
-        An instance that the store rejects could not take the lease, and would
+        A gateway that the store rejects could not take the lease, and would
         keep others from contending.
         """
         if self._stopping or not self._is_store_reachable():
@@ -177,10 +177,10 @@
         return self._clock() >= self._ineligible_until
 
     def led_groups(self) -> tuple[str, ...]:
-        """Return the groups that we lead.
+        """Return the groups that this gateway leads.
 
-        A group whose ranks know a newer leader is left out, though the store
-        may be unavailable and the lease may seem to be held.
+        A group whose ranks know a newer leader is left out, even if the lease
+        still seems to be held because the store is unavailable.
         """
         return tuple(
             name
@@ -200,7 +200,7 @@
                         await self._check_service(service.name, engine, tasks)
 
     async def stop(self) -> None:
-        """Settle the groups that we lead and give the leases up."""
+        """Settle the groups that are led here and release their leases."""
         self._stopping = True
         async with anyio.create_task_group() as tasks:
             for candidacy in list(self._candidacies.values()):
@@ -220,19 +220,19 @@
         is_first = self._is_first(service)
         if is_first or self._leads_in(service):
             # A leader also has to learn of new and removed endpoints, even
-            # when another instance is the first by now.
+            # when another gateway is the first by now.
             await self._groups.refresh(service)
         if not is_first:
             return
-        elsewhere = self._led_by_peers()
+        led_by_peers = self._led_by_peers()
         for group in self._groups:
             if group.service != service or group.name in self._candidacies:
                 continue
-            if group.name not in elsewhere:
+            if group.name not in led_by_peers:
                 self._start_candidacy(group, engine, tasks)
 
     def _is_first(self, service: str) -> bool:
-        """Return whether this instance is the first, which contends."""
+        """Return whether this gateway is the first, which contends."""
         if not self.eligible or self._has_stronger_peer():
             return False
         names = {self._instance, *self._eligible_peers()}
@@ -246,12 +246,12 @@
         )
 
     def _withdraw_candidacies(self) -> None:
-        """Stop contending where another leads, or where we cannot lead."""
-        elsewhere = self._led_by_peers()
+        """Stop contending where a peer leads or this gateway cannot lead."""
+        led_by_peers = self._led_by_peers()
         now = self._clock()
         for name, candidacy in list(self._candidacies.items()):
             held = candidacy.lease.held()
-            if not held and (name in elsewhere or not self.eligible):
+            if not held and (name in led_by_peers or not self.eligible):
                 candidacy.scope.cancel()
                 continue
             failure = candidacy.leader.failure
@@ -328,14 +328,15 @@
         tasks.start_soon(self._run_candidacy, candidacy)
 
     def _has_ended(self, group: str, holder: str) -> bool:
-        """Whether the holder of a group's lease no longer leads.
+        """Return whether the holder of a group's lease no longer leads.
 
-        After a restart of all instances, each lease names a holder that does
-        not know of it.  Waiting for it to expire would leave the group its
-        initial map for three seconds in which all callers come back at once.
+        After a restart of all gateways, each lease names a holder that does
+        not know of it.  Waiting for the lease to expire would leave the group
+        its initial map for three seconds, while all callers come back at once.
         """
         if holder == self._instance:
-            # From before a restart; the lease recognises its own writes.
+            # A lease recognises writes of its own process, so this one is
+            # from before a restart.
             return True
         if self._is_gone(holder):
             return True
@@ -350,7 +351,9 @@
 
     def _list_members(self, name: str) -> tuple[str, ...]:
         """Return the endpoints of a group that are still known."""
-        return tuple(one.identity for one in self._groups.list_known(name))
+        return tuple(
+            endpoint.identity for endpoint in self._groups.list_known(name)
+        )
 
     def _compute_utilization(self, group: group_members.Group) -> float:
         """Return the utilization by concurrent requests and by pauses."""
--- a/marigoldramp/gateway/pass_times.py
+++ b/marigoldramp/gateway/pass_times.py
@@ -5,7 +5,7 @@
 any stream therefore shows at once, and at no cost, that passes have slowed
 down: because requests use other experts, or because a rank has become slow.
 Polling the ranks' expert counts every quarter of a second to notice the same
-lowers the score of a calm benchmark day by 0.055.
+costs 0.055 of the value served on a quiet day.
 """
 
 import collections
--- a/marigoldramp/gateway/rank_transport.py
+++ b/marigoldramp/gateway/rank_transport.py
@@ -35,8 +35,8 @@
 MAX_ATTEMPTS = 10
 #: Interval between two copies of an order.
 RETRY_INTERVAL_SECONDS = 0.02
-#: Time after an order from which on reports show its effect; ranks document
-#: their reports to lag by 0.2 s.
+#: Time after an order from which on reports show its effect; the documented
+#: lag of reports is 0.2 s.
 REPORT_LAG_SECONDS = 0.35
 
 Refusal = map_orders.Refusal
@@ -63,7 +63,7 @@
     :ivar report: the last report.
     :ivar last_order_at: when the last order was sent or answered.
     :ivar discarded: the newest prepared map that was undone.
-    :ivar armed: the map that orders of this leader may have armed.
+    :ivar armed: the map that an order of this leader may have armed.
     :ivar endpoint: the endpoint of the rank when it was last listed.
     :ivar released_step: the latest held step that was released.
     """
@@ -90,7 +90,7 @@
     """Sends orders to ranks, see :class:`.map_client.Transport`.
 
     :param find_endpoint: returns the endpoint with a name.
-    :param fenced: whether ranks refuse a lower token than they have seen.
+    :param fenced: whether ranks check tokens.
     """
 
     __slots__ = (
@@ -162,7 +162,7 @@
     def _locate(self, name: str, view: _RankView) -> endpoints.Endpoint | None:
         """Return the endpoint of a rank, or the one that was last listed.
 
-        Its registration may expire for a second or two while it still runs.
+        The registration of a running rank may expire for a second or two.
         Without its endpoint in the middle of a change, the group would be
         held for all that time.
         """
@@ -218,7 +218,7 @@
     def _find_highest_fence(
         self, view: _RankView, order: map_orders.Order
     ) -> int:
-        """Return the highest fence of a leader that a rank has obeyed.
+        """Return the highest fencing number that a rank has obeyed.
 
         Ranks that check no tokens show by their map versions that they have
         obeyed a newer leader.  An older leader that continued would have its
@@ -425,7 +425,7 @@
     """Return whether an order undoes a map that a rank has not armed.
 
     Leaders of ranks that check tokens name no map to undo, so that the order
-    is sent for its token.
+    is sent and the rank gets its token.
     """
     assert view.report is not None
     match body:
--- a/marigoldramp/gateway/ranks.py
+++ b/marigoldramp/gateway/ranks.py
@@ -114,7 +114,8 @@
 class Order:
     """An order to one rank.
 
-    :ivar token: fencing token; a rank refuses a lower one than it has seen.
+    :ivar token: fencing token; a rank refuses one lower than that of an order
+        that it has carried out.
     :ivar epoch: a rank refuses the order in any other epoch.
     """
 
@@ -140,7 +141,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class TokenOld:
-    """The rank has seen a higher token."""
+    """The rank has carried out an order with a higher token."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
--- a/tests/gateway/test_expert_demand.py
+++ b/tests/gateway/test_expert_demand.py
@@ -9,7 +9,7 @@
 
 LAYERS = 4
 EXPERTS = 64
-#: Requests that a rank counts in one window, and tokens of each.
+#: Requests whose tokens a rank counts in one window, and tokens of each.
 REQUESTS = 6
 TOKENS = 400
 
@@ -25,18 +25,18 @@
 
 
 def shift(draw, profile, part):
-    """Return a profile in which a part of the experts changed places."""
+    """Return a profile in which a part of the experts swap popularities."""
     moved = draw.sample(range(EXPERTS), round(part * EXPERTS))
     values = [profile[expert] for expert in moved]
     draw.shuffle(values)
-    found = list(profile)
+    shifted = list(profile)
     for expert, value in zip(moved, values):
-        found[expert] = value
-    return found
+        shifted[expert] = value
+    return shifted
 
 
 def count(draw, profiles):
-    """Return the counts of one rank for some requests, each with a topic."""
+    """Return what a rank counts for some requests of random topics."""
     counts = []
     topics = [make_profile(random.Random(number)) for number in range(9)]
     chosen = [draw.choice(topics) for _ in range(REQUESTS)]
@@ -80,9 +80,9 @@
     """One window shows a shift, and windows without one show none.
 
     Requests of nine topics are counted on one rank in windows of 0.25 s, then
-    half of the experts or more change places at once.  Averaging windows from
-    before and after a shift keeps an uneven map for seconds; taking noise for
-    a shift copies experts for nothing.
+    half of the experts or more swap popularities at once.  Averaging windows
+    from before and after a shift keeps an uneven map for seconds; taking noise
+    for a shift copies experts for nothing.
     """
     draw = random.Random(seed)
     profiles = [make_profile(draw) for _ in range(LAYERS)]
@@ -146,7 +146,7 @@
 
     Each of 192 ranks reads one prompt per second, so in a window of 0.2 s most
     ranks only count some generated tokens.  If each such window is dropped as
-    too small by itself, a shift is never detected.
+    too small by itself, no shift is ever detected.
     """
     draw = random.Random(3)
     profiles = [make_profile(draw) for _ in range(LAYERS)]
--- a/tests/gateway/test_expert_planner.py
+++ b/tests/gateway/test_expert_planner.py
@@ -138,7 +138,7 @@
     """
     planner, group = make_planner(1.0)
     weights = list(EVEN)
-    found = []
+    planned_at = []
 
     async def run():
         while True:
@@ -152,26 +152,26 @@
                 client=FakeClient(group.names()),
             )
             if plan is not None:
-                found.append(virtual_time.now())
+                planned_at.append(virtual_time.now())
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(run)
         tasks.start_soon(lead)
         await anyio.sleep(steady_seconds)
-        assert not found
+        assert not planned_at
         weights[0] = 450
         shifted_at = virtual_time.now()
         await anyio.sleep(1.6)
         tasks.cancel_scope.cancel()
-    assert found and found[0] - shifted_at < 1.5
+    assert planned_at and planned_at[0] - shifted_at < 1.5
 
 
 async def test_plan_from_few_counts_is_refined_though_it_looks_like_a_shift():
     """A map made from three prompts is refined without waiting three seconds.
 
-    The next counts show that the map is uneven, which looks like a shift; the
-    ranks are sampled again and show none.  The check must then go on and keep
-    the counts, or no refinement is planned.
+    The next counts show that the map is uneven, which looks like a shift.  The
+    ranks are sampled again and show none.  If the check ends there, it drops
+    the counts and no refinement is planned.
     """
     planner, group = make_planner(1.0)
     watch = planner._watch
@@ -200,9 +200,9 @@
                     names, compute_skew
                 ),
             )
-            sign = await watch.check(names, 1, 0.0, lambda window: 9.0)
+            reason = await watch.check(names, 1, 0.0, lambda window: 9.0)
         tasks.cancel_scope.cancel()
-    assert sign is demand_watch.ReplanReason.COUNTED
+    assert reason is demand_watch.ReplanReason.COUNTED
 
 
 @pytest.mark.parametrize(
@@ -214,9 +214,9 @@
     """A plan is refined only for a large gain.
 
     After the plan for a shift, newer counts show a remaining skew of 1.1 or
-    1.2.  If a second change is only compared with the cost of its orders, it
-    is made; demand that shifts before reports show the change is then planned
-    for after 1.2 s instead of 0.6 s.
+    1.2.  If the gain is only compared with the cost of the orders, the map is
+    changed again.  If demand shifts before reports show that change, the next
+    plan is made 1.2 s after the shift instead of 0.6 s.
     """
     planner, group = make_planner(1.0)
     weights = list(EVEN)
@@ -231,7 +231,7 @@
         client = FakeClient(group.names())
         first = rank_transport.initial_map(shape=SHAPE)
         await planner.plan(expert_map=first, client=client)
-        # Demand for an expert that the first plan took for even.
+        # The first plan was made for even demand.
         weights[0] = seen_since
         plan = None
         until = virtual_time.now() + demand_watch.REFINE_AFTER_SECONDS + 0.3
@@ -256,9 +256,8 @@
 ):
     """The number of concurrent reads depends on the counters per rank.
 
-    Passes take 0.12 s, of which callers accept 0.15 s, and each read pauses
-    the group for 5 ms.  Six concurrent reads make all streams of a large group
-    late.
+    Passes take 0.12 s, callers accept pauses of 0.15 s, and each read pauses a
+    large group for 5 ms.  Six concurrent reads make all its streams late.
     """
     shape = expert_maps.Shape(
         ranks=16, experts=experts, layers=layers, slots=24
@@ -283,10 +282,10 @@
 async def test_new_leader_plans_from_its_first_counts():
     """A new leader measures demand at once, without a first periodic read.
 
-    All instances restart while requests run.  If the first read of one rank,
-    which has nothing to be compared with, counts as a periodic read, the next
-    one follows a second later, and all callers come back to a group that has
-    an uneven map for 1.3 s.
+    All gateways restart while requests run.  The first read of a rank has
+    nothing to be compared with.  If it counts as a periodic read, the next one
+    follows a second later, and all callers come back to a group that has an
+    uneven map for 1.3 s.
     """
     planner, group = make_planner(1.0)
     async with anyio.create_task_group() as tasks:
--- a/tests/gateway/test_leader_election.py
+++ b/tests/gateway/test_leader_election.py
@@ -1,4 +1,4 @@
-"""Tests of which gateway instance leads a group of ranks."""
+"""Tests of which gateway leads a group of ranks."""
 
 import dataclasses
 import random
@@ -40,7 +40,7 @@
 
 
 class InstanceStore:
-    """The store as one instance sees it, which may reject its calls."""
+    """The store as one gateway sees it, which may reject its calls."""
 
     def __init__(self, *, fleet, name):
         self.fleet = fleet
@@ -64,7 +64,7 @@
 
 
 class Fleet:
-    """Instances that hear each other at once, and one group of ranks."""
+    """Gateways that hear each other without delay, and a group of ranks."""
 
     def __init__(self, names=('a', 'b', 'c'), fenced=True):
         self.fenced = fenced
@@ -154,12 +154,12 @@
 
 
 async def test_leader_learns_of_ranks_that_register_later():
-    """A leader learns of new ranks though another instance is the first now.
+    """A leader learns of new ranks though another gateway is the first now.
 
-    An instance becomes leader while few ranks are registered and few
-    instances are heard; then the others come, one of which is first in the
-    order.  If only the first instance refreshes the group, no map is ever
-    changed and no other instance takes the lead.
+    A gateway becomes leader while few ranks are registered and few gateways
+    are heard; then the others come, one of which is first in the order.  If
+    only the first gateway refreshes the group, no map is ever changed and no
+    other gateway takes the lead.
     """
     fleet = Fleet()
     ranks = list(fleet.group.names())
@@ -188,9 +188,9 @@
 
 
 async def test_another_instance_leads_when_the_leader_is_killed():
-    """Another instance takes over when the leader is killed during a hold.
+    """Another gateway takes over when the leader is killed during a hold.
 
-    If instances only contend for a group that never had a leader, the group
+    If gateways only contend for a group that never had a leader, the group
     stays held forever.
     """
     fleet = Fleet()
@@ -220,7 +220,7 @@
     The leader holds a rank to change the map, and is killed or suspended.
     Callers leave after two seconds without an event, but the lease lasts for
     three seconds after its last renewal.  So the others must not wait for the
-    lease of an instance that is silent, whose orders ranks would refuse.
+    lease of a silent gateway to expire; ranks would refuse its orders.
     """
     fleet = Fleet(fenced=fenced)
     async with anyio.create_task_group() as tasks:
@@ -240,10 +240,10 @@
 
 
 async def test_group_is_led_soon_after_all_instances_have_restarted():
-    """A group is led soon after all instances have restarted at once.
+    """A group is led soon after all gateways have restarted at once.
 
     The lease is held by one of them from before its restart.  If the holder
-    is only known by its name, which the restarted instance has too, all wait
+    is only known by its name, which the restarted gateway has too, all wait
     for the lease to expire, and the group keeps its initial map while all
     callers come back.
     """
@@ -258,7 +258,7 @@
             names = list(fleet.instances)
             fleet.instances = {name: fleet.make(name) for name in names}
             if leaves_leader_out and leader:
-                # Another instance has to learn that the holder does not lead.
+                # Another gateway has to learn that the holder does not lead.
                 fleet.instances[leader]._stopping = True
             for name in names:
                 tasks.start_soon(fleet.run_instance, name)
@@ -313,8 +313,8 @@
     """A restarted rank counts once.
 
     A rank crashes and restarts with another name at the same address, while
-    the registration of its former start remains or comes back from a peer.
-    If it counts as two ranks, the group is not led for seconds.
+    its old registration remains or is received again from a peer.  If it
+    counts as two ranks, the group is not led for seconds.
     """
     fleet = Fleet(names=('a',))
     async with anyio.create_task_group() as tasks:
@@ -358,10 +358,10 @@
 
 
 async def test_instance_that_the_store_rejects_is_not_eligible():
-    """An instance that the store rejects is not eligible.
+    """A gateway that the store rejects is not eligible.
 
-    The leader ends and the first instance cannot reach the store.  If
-    eligibility only depends on reaching the ranks, the others wait for it.
+    The leader ends and the store rejects the first gateway.  If eligibility
+    only depends on reaching the ranks, the others wait for that gateway.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
@@ -375,9 +375,9 @@
 async def test_leader_that_ranks_refuse_does_not_say_that_it_leads():
     """A leader that ranks refuse does not report that it leads.
 
-    The store rejects a leader, another takes over and ends.  If the first one
+    The store rejects a leader; another takes over and ends.  If the first one
     counts its lease as held because it knows of no other holder, it keeps
-    reporting that it leads, and no instance contends.
+    reporting that it leads, and no gateway contends.
     """
     fleet = Fleet()
     async with anyio.create_task_group() as tasks:
@@ -398,7 +398,7 @@
     """A leader without a lease stops once it hears that a peer leads.
 
     It is silent to its peers and cut off from the store until another has
-    taken over.  Without a check of what peers report, two instances lead the
+    taken over.  Without a check of what peers report, two gateways lead the
     group for good.
     """
     fleet = Fleet()
--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -1,8 +1,8 @@
 """Tests of leaders under random faults, on ranks that check no tokens.
 
-Three leaders are killed, frozen and succeeded at any moment, orders are lost
-or late, reports lag, registrations expire, the group idles and forms again,
-and the store is unavailable or is restored from an older copy.
+Three leaders are killed, frozen or replaced at any moment; orders are lost or
+late; reports lag; registrations expire; the group idles and forms again; and
+the store is unavailable or is restored from an older copy.
 """
 
 import random
@@ -53,7 +53,7 @@
     def __init__(self):
         super().__init__()
         self.eras = 0
-        self.at = float('-inf')
+        self.last_restored_at = float('-inf')
         self.copies = [{}]
 
     def copy(self):
@@ -65,17 +65,17 @@
         """Restore one of the last copies."""
         self.objects = dict(draw.choice(self.copies))
         self.eras += 1
-        self.at = virtual_time.now()
+        self.last_restored_at = virtual_time.now()
 
     def era(self):
         return self.eras
 
     def restored_at(self):
-        return self.at
+        return self.last_restored_at
 
 
 class Instance(ranks.RankApi):
-    """A process that leads once it gets the lease; may freeze and end."""
+    """A gateway that leads once it has the lease; may freeze or end."""
 
     def __init__(self, *, name, world):
         self.name = name
@@ -157,7 +157,7 @@
 
 
 class World:
-    """Gateway instances, one group and the store, under seeded faults."""
+    """Gateways, one group and the store, under seeded faults."""
 
     def __init__(self, *, seed, load_seconds):
         self.draw = random.Random(seed)
@@ -176,7 +176,7 @@
         self.presumed_gone = set()
 
     def is_gone(self, name):
-        """Return whether an instance is assumed, maybe wrongly, to be gone."""
+        """Return whether a gateway is assumed, maybe wrongly, to be gone."""
         return name in self.presumed_gone or any(
             one.name == name and one.ended for one in self.instances
         )
--- a/tests/gateway/test_rank_transport.py
+++ b/tests/gateway/test_rank_transport.py
@@ -401,8 +401,8 @@
 ):
     """A rank whose registration expires during a change still takes part.
 
-    If it is left out, a pass mixes two maps.  The registration is back a
-    second later.
+    The registration is back a second later.  If the rank is left out until
+    then, a pass mixes two maps.
     """
     monkeypatch.setattr(fake_ranks, 'COPY_SECONDS', copy_seconds)
     group = make_group(checks_token=fenced)
@@ -442,9 +442,9 @@
 async def test_group_is_not_held_while_a_registration_has_expired(
     fenced, order_type
 ):
-    """A held group does not wait for the registration of a rank to come back.
+    """A held group continues though the registration of a rank has expired.
 
-    It is missing for a second.
+    Otherwise it stays held for the second until the rank is listed again.
     """
     group = make_group(checks_token=fenced)
     leader, planner = make_leader(
@@ -525,7 +525,7 @@
 ):
     """Two leaders that hold the same rank hold different steps.
 
-    Otherwise a late release by an older leader ends the hold of a newer one.
+    Otherwise a late release from an older leader ends the hold of a newer one.
     """
     steps = []
     for one in (fence, other):
