--- a/marigoldramp/map_changes.py
+++ b/marigoldramp/map_changes.py
@@ -1,11 +1,14 @@
-"""One change of a group's map: prepare, hold, arm, release.
-
-*Prepare*: every rank loads weights.  *Hold*: one rank is told not to enter
-step s.  *Arm*: every rank is told to use the new map from step s + 1.
-*Release* the held rank.  As ranks run in lock-step, none can enter step s + 1
-while one is held before step s, so none uses the new map before all have
-armed it.  In the common case the release comes before step s and the group
-never waits; in the worst case it waits, and still no step mixes maps.
+"""Changes a group's expert map in four phases.
+
+1. *Prepare*: every rank loads the weights that the new map needs.
+2. *Hold*: one rank is told not to enter step s.
+3. *Arm*: every rank is told to use the new map from step s + 1.
+4. *Release*: the held rank may go on.
+
+As ranks run in lock-step, none can enter step s + 1 while one is held before
+step s, so none uses the new map before all have armed it.  Usually the
+release comes before step s and the group never waits; at worst it waits, and
+still all ranks use the same map in each step.
 """
 
 import dataclasses
@@ -26,44 +29,44 @@
 
 Failure = map_client.Failure
 
-#: The rank that is held during a change; any one does.
+#: The rank that is held during a change; any rank would do.
 HELD_RANK = 0
 
-#: Steps by which a held step is ahead of the last one that was reported, where
-#: loads are timed: a report is 0.2 s old, about three steps.  One that has
-#: begun is refused, and the next one tried.
-FIRST_LEAD = 3
-MOST_LEAD = 16
-#: Steps that are added while orders are slow to be obeyed, and seconds for
-#: which one that was counts.  Each order without a reply takes 0.1 s, and the
-#: group stands while ranks are still to be told to arm or to go on; five more
-#: steps take 0.35 s.  Without them streams of a loaded group, of which a tenth
-#: of the orders went unanswered, had pauses of 0.17 to 0.23 s.
-SLOW_LEAD = 5
-SLOW_SECONDS = 6.0
-#: Seconds from which on ordering all ranks counts as slow; usual is 0.02 to
-#: 0.06, and an order that is sent again takes 0.1.
-SLOW_ORDERS = 0.1
-#: Seconds for which ranks that still load are told to arm again and again.
-ARM_PATIENCE = 0.4
-ARM_RETRY = 0.02
-
-#: Seconds for which a loaded change waits until calls in flight can wait.
-#: Loaded weights take memory, so they are dropped after that.
-SLACK_PATIENCE = 10.0
+#: How many steps after the last reported one a rank is held when the time of
+#: the loads is known: a report is 0.2 s old, about three steps.  A rank
+#: refuses a step that it has entered, and the next one is tried.
+TIMED_LEAD_STEPS = 3
+MAX_HOLD_ATTEMPTS = 16
+#: Steps that are added to the lead for a while after orders were slow.  An
+#: order without a reply takes 0.1 s, and the group waits while ranks still
+#: have to be armed or released; five more steps take 0.35 s.  Without them the
+#: streams of a loaded group that leaves a tenth of the orders unanswered pause
+#: for 0.17 to 0.23 s.
+SLOW_ORDER_LEAD_STEPS = 5
+SLOW_ORDER_PERIOD_SECONDS = 6.0
+#: Time from which on an order to all ranks counts as slow: 0.02 to 0.06 s is
+#: usual, and an order that is sent again takes 0.1 s.
+MIN_SLOW_ORDER_SECONDS = 0.1
+#: Time for which ranks that are still loading are asked to arm repeatedly.
+MAX_ARM_SECONDS = 0.4
+ARM_RETRY_SECONDS = 0.02
+
+#: Longest wait, once weights are loaded, until every call in flight can be
+#: delayed.  Loaded weights take memory, so they are dropped after it.
+MAX_SLACK_WAIT_SECONDS = 10.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Plan:
-    """A change that the planner wants.
+    """A change that the planner asks for.
 
-    :ivar layers: the new map.
+    :ivar layers: the layers of the new map.
     :ivar load_limit: seconds after which unfinished loads are given up.
-    :ivar load_seconds: time that loads take, if it is known.  The change goes
-        on after it without waiting for all ranks to report, which takes
-        0.3 s longer; a rank that is not ready refuses to arm.
-    :ivar stall_seconds: how long the group may have to wait; the change is
-        not armed while a call in flight cannot wait so long.
+    :ivar load_seconds: time that the loads take, if it is known.  The change
+        continues after it without waiting for reports of all ranks, which
+        take 0.3 s longer; a rank that is still loading refuses to arm.
+    :ivar stall_seconds: how long the change may make the group wait; it is
+        not armed while a call in flight cannot be delayed by as much.
     """
 
     layers: tuple[expert_maps.Layer, ...]
@@ -72,10 +75,10 @@
     stall_seconds: float = 0.0
 
 
-class Changer:
-    """Makes changes in the name of one leader.
+class MapChanger:
+    """Carries out the map changes of one leader.
 
-    :param may_go_on: says whether the leader's lease still lasts.
+    :param may_continue: returns whether the leader still holds its lease.
     :param fenced: whether ranks refuse orders of older leaders.
     """
 
@@ -84,9 +87,9 @@
         '_timing',
         '_clock',
         '_sleep',
-        '_may_go_on',
+        '_may_continue',
         '_fenced',
-        '_slow_until',
+        '_orders_slow_until',
     )
 
     def __init__(
@@ -95,16 +98,16 @@
         instance: str,
         timing: map_reconciliation.Timing,
         clock: Callable[[], float],
-        may_go_on: Callable[[], bool],
+        may_continue: Callable[[], bool],
         fenced: bool = True,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
         self._instance = instance
         self._timing = timing
         self._clock = clock
-        self._may_go_on = may_go_on
+        self._may_continue = may_continue
         self._fenced = fenced
-        self._slow_until = float('-inf')
+        self._orders_slow_until = float('-inf')
         self._sleep = sleep
 
     async def change(
@@ -112,29 +115,29 @@
         client: map_client.GroupClient,
         plan: Plan,
     ) -> bool:
-        """Take a change up to the release; return whether all have armed it.
+        """Carry out a change; return whether all ranks have armed it.
 
-        On any trouble it stops where it is, and settling undoes or finishes
-        what stands.
+        After any failure the change stops where it is, and reconciliation
+        undoes or finishes it.
         """
-        version = client.name_map()
+        version = client.new_version()
         new = expert_maps.ExpertMap(version=version, layers=plan.layers)
         if plan.load_seconds is None:
-            held = await self._hold_loaded(client, new, plan)
-            patience = 0.0
+            held = await self._hold_after_reports(client, new, plan)
+            max_seconds = 0.0
         else:
-            held = await self._hold_timed(client, new, plan.load_seconds)
-            patience = ARM_PATIENCE
+            held = await self._hold_after_delay(client, new, plan.load_seconds)
+            max_seconds = MAX_ARM_SECONDS
         if held is None:
             return False
-        rank = self._choose_held(client)
+        rank = self._choose_held_rank(client)
         logging.info(
             'step held',
             extra=logs.fields(version=str(version), rank=rank, step=held),
         )
         await steps.reach(steps.Step.MAP_ARM_SENT, self._instance)
         order = map_orders.Arm(version=version, from_step=held + 1)
-        if not await self._arm(client, order, patience):
+        if not await self._arm(client, order, max_seconds):
             return False
         logging.info(
             'map armed',
@@ -146,68 +149,68 @@
         )
         await steps.reach(steps.Step.MAP_ARMED, self._instance)
         await map_reconciliation.release(
-            client, (self._choose_held(client),), self._instance
+            client, (self._choose_held_rank(client),), self._instance
         )
         return True
 
-    async def _hold_loaded(
+    async def _hold_after_reports(
         self,
         client: map_client.GroupClient,
         new: expert_maps.ExpertMap,
         plan: Plan,
     ) -> int | None:
-        """Hold a rank once all have reported that they have loaded."""
+        """Hold a rank once all ranks have reported their weights loaded."""
         if not await self._prepare(client, new, plan.load_limit):
             return None
         states = await self._await_slack(client, plan.stall_seconds)
-        if isinstance(states, Failure) or not self._may_go_on():
+        if isinstance(states, Failure) or not self._may_continue():
             return None
-        if _is_held(states):
+        if _is_any_held(states):
             return None
-        agent = client.find_agent(self._choose_held(client))
+        agent = client.find_agent(self._choose_held_rank(client))
         if agent is None:
             return None
         entered = max((state.entered for state in states), default=0)
-        return await self._hold_first(
+        return await self._hold_first_accepted(
             client, agent, entered + self._timing.lead_steps
         )
 
-    async def _hold_timed(
+    async def _hold_after_delay(
         self,
         client: map_client.GroupClient,
         new: expert_maps.ExpertMap,
         seconds: float,
     ) -> int | None:
-        """Hold a rank after the time in which all should have loaded."""
+        """Hold a rank once the known time of the loads has passed."""
         await steps.reach(steps.Step.MAP_PREPARE_SENT, self._instance)
-        began = self._clock()
+        started = self._clock()
         failure = await client.send_all(map_orders.Prepare(expert_map=new))
-        self._note_orders(since=began)
+        self._note_order_time(since=started)
         if failure is not None:
             return None
         await self._sleep(seconds)
-        agent = client.find_agent(self._choose_held(client))
+        agent = client.find_agent(self._choose_held_rank(client))
         if agent is None:
             return None
-        # The step that the rank has begun at the least is all that is asked.
-        # A report that shows the effect of all orders comes 0.35 s after the
-        # last one; waiting for it left a group of 72 ranks uneven for 0.45 s
-        # from each plan on instead of 0.26.
+        # Any recent step of the rank suffices here.  A report that shows the
+        # effect of all orders comes 0.35 s after the last of them; waiting
+        # for it leaves a group of 72 ranks uneven for 0.45 s from each plan
+        # on instead of 0.26 s.
         answer = await client.send(agent, map_orders.Confirm(settled=False))
-        if isinstance(answer, Failure) or not self._may_go_on():
+        if isinstance(answer, Failure) or not self._may_continue():
             return None
-        if _is_held(answer.states):
+        if _is_any_held(answer.states):
             return None
-        first = answer.states[0].entered + FIRST_LEAD
-        if self._clock() < self._slow_until:
-            first += SLOW_LEAD
-        return await self._hold_first(client, agent, first)
+        first = answer.states[0].entered + TIMED_LEAD_STEPS
+        if self._clock() < self._orders_slow_until:
+            first += SLOW_ORDER_LEAD_STEPS
+        return await self._hold_first_accepted(client, agent, first)
 
-    async def _hold_first(
+    async def _hold_first_accepted(
         self, client: map_client.GroupClient, agent: str, first: int
     ) -> int | None:
-        """Hold one rank before the first step that it does not refuse."""
-        for step in range(first, first + MOST_LEAD):
+        """Hold a rank before the first step that it accepts; return that."""
+        for step in range(first, first + MAX_HOLD_ATTEMPTS):
             if not self._may_hold(client, step):
                 continue
             held = await self._hold(client, agent, step)
@@ -219,32 +222,38 @@
         self,
         client: map_client.GroupClient,
         order: map_orders.Arm,
-        patience: float,
+        max_seconds: float,
     ) -> bool:
-        """Have all ranks arm a map; return whether all of them have."""
-        began = self._clock()
-        left = tuple(client.members())
-        while left:
-            answers = await client.ask_each({agent: order for agent in left})
-            self._note_orders(since=began)
-            left = tuple(
+        """Arm a map on all ranks; return whether all of them obeyed.
+
+        Ranks that refuse, as they are still loading, are asked again for up
+        to ``max_seconds``.
+        """
+        started = self._clock()
+        pending = tuple(client.members())
+        while pending:
+            answers = await client.ask_each(
+                {agent: order for agent in pending}
+            )
+            self._note_order_time(since=started)
+            pending = tuple(
                 agent
                 for agent, answer in answers.items()
                 if isinstance(answer, Failure)
             )
-            if any(answers[one] != Failure.REFUSED for one in left):
+            if any(answers[one] != Failure.REFUSED for one in pending):
                 return False
-            if left and self._clock() - began >= patience:
+            if pending and self._clock() - started >= max_seconds:
                 return False
-            if left:
-                await self._sleep(ARM_RETRY)
+            if pending:
+                await self._sleep(ARM_RETRY_SECONDS)
         return True
 
-    def _note_orders(self, *, since: float) -> None:
-        """Learn how long ranks took to obey."""
+    def _note_order_time(self, *, since: float) -> None:
+        """Note whether ranks were slow to obey an order."""
         now = self._clock()
-        if now - since >= SLOW_ORDERS:
-            self._slow_until = now + SLOW_SECONDS
+        if now - since >= MIN_SLOW_ORDER_SECONDS:
+            self._orders_slow_until = now + SLOW_ORDER_PERIOD_SECONDS
 
     async def _prepare(
         self,
@@ -252,7 +261,7 @@
         new: expert_maps.ExpertMap,
         limit: float,
     ) -> bool:
-        """Have every rank load a map's weights; give up at the limit."""
+        """Have every rank load a map's weights within a time limit."""
         until = self._clock() + limit
         await steps.reach(steps.Step.MAP_PREPARE_SENT, self._instance)
         failure = await client.send_all(map_orders.Prepare(expert_map=new))
@@ -271,26 +280,26 @@
         return False
 
     async def _await_slack(
-        self, client: map_client.GroupClient, stall: float
+        self, client: map_client.GroupClient, stall_seconds: float
     ) -> tuple[map_orders.RankState, ...] | Failure:
-        """Return the states of all ranks once every call can wait.
+        """Return the states of all ranks once every call can be delayed.
 
-        Loading took seconds, and calls have begun since the plan was made.
+        Loading takes seconds, and calls have begun since the plan was made.
         """
-        until = self._clock() + SLACK_PATIENCE
+        until = self._clock() + MAX_SLACK_WAIT_SECONDS
         while True:
             states = await client.inspect_members()
-            if isinstance(states, Failure) or client.slack() >= stall:
+            if isinstance(states, Failure) or client.slack() >= stall_seconds:
                 return states
-            if self._clock() >= until or not self._may_go_on():
+            if self._clock() >= until or not self._may_continue():
                 return Failure.REFUSED
             await self._sleep(self._timing.retry_seconds)
 
     async def _hold(
         self, client: map_client.GroupClient, agent: str, step: int
     ) -> int | Failure:
-        """Hold one rank; return the step before which it holds."""
-        rank = self._choose_held(client)
+        """Hold a rank; return the step before which it is held."""
+        rank = self._choose_held_rank(client)
         await steps.reach(steps.Step.MAP_HOLD_SENT, self._instance)
         answer = await client.send(
             agent, map_orders.Hold(rank=rank, before_step=step)
@@ -304,10 +313,11 @@
         return Failure.REFUSED
 
     def _may_hold(self, client: map_client.GroupClient, step: int) -> bool:
-        """Whether a change of ours may hold a step.
+        """Return whether this leader may hold a given step.
 
-        Of the leaders that hold one rank without fences each holds every
-        other step, in turn, also where the store was restored in between.
+        Where ranks check no fences, successive leaders that hold the same
+        rank use even and odd steps in turn, also across a restore of the
+        store, so that a late release of one never names a hold of the next.
         """
         if self._fenced:
             return True
@@ -315,18 +325,18 @@
         turn += client.fence // leases.FENCES_PER_ERA
         return step % 2 == turn % 2
 
-    def _choose_held(self, client: map_client.GroupClient) -> int:
-        """Return the rank that is held during a change; any one does.
+    def _choose_held_rank(self, client: map_client.GroupClient) -> int:
+        """Return the rank that is held during a change.
 
-        Without fences, leaders that follow each other hold different ranks,
-        so that a late copy of an order to release, from the one before, ends
-        nothing of ours.
+        Where ranks check no fences, successive leaders hold different ranks,
+        so that a late release order of the previous leader cannot end a hold
+        of this one.
         """
         return (
             HELD_RANK if self._fenced else client.fence % len(client.members())
         )
 
 
-def _is_held(states: Sequence[map_orders.RankState]) -> bool:
-    """Whether a step is held already, by a leader who may release it."""
+def _is_any_held(states: Sequence[map_orders.RankState]) -> bool:
+    """Return whether another leader holds a rank and may release it."""
     return any(state.hold_before is not None for state in states)
--- a/marigoldramp/map_client.py
+++ b/marigoldramp/map_client.py
@@ -1,4 +1,4 @@
-"""One leader's talk with the agents of its group, under one fence."""
+"""Sends a leader's orders to the agents of its group."""
 
 import dataclasses
 import enum
@@ -15,16 +15,16 @@
 
 
 class Transport(Protocol):
-    """Carries orders to agents."""
+    """Delivers orders to agents."""
 
     async def order(
         self, *, rank_agent: str, order: map_orders.Order
     ) -> map_orders.Reply | map_orders.Lost:
-        """Deliver an order and return the reply, or that it is lost."""
+        """Deliver an order; return the reply, or ``Lost`` if none came."""
 
 
 class Failure(enum.Enum):
-    """Why a leader could not go on with what it was doing."""
+    """Why a leader could not carry out an order or an inspection."""
 
     DEPOSED = 'an agent knows a higher fence'
     UNREACHED = 'an agent did not answer'
@@ -32,13 +32,13 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Numbers:
-    """Numbers that a leading process gives its orders and maps.
+class Counters:
+    """Last numbers that a process gave to its orders and its maps.
 
-    They go on from one conversation to the next.  A lease that has lapsed,
-    with nobody else to take it, is taken again under the same fence; were
-    orders numbered from 1 again, agents would refuse them as overtaken, and
-    a new map could be named like an old one.
+    They outlive a :class:`GroupClient`.  A process whose lease has lapsed may
+    take it again under the same fence if no other process took it.  If it
+    numbered orders from 1 again, agents would refuse them as overtaken, and a
+    new map could get the version of an old one.
     """
 
     orders: int = 0
@@ -46,14 +46,16 @@
 
 
 class GroupClient:
-    """Numbers a leader's orders and remembers what agents answered.
+    """Sends the orders of one leader under one fence.
 
-    An order to all goes to the members: the agents that were listed when the
-    group was last inspected.  One that is no longer listed in between stays a
-    member; were it left out, a change could end with all others armed.
+    It numbers the orders and stores the latest reply of each agent.  An order
+    to all goes to the members: the agents that were listed when the group was
+    last inspected.  An agent that is unlisted later stays a member; without
+    it, a change could be released although that agent has not armed the map.
 
     :param agents: returns the names of the agents that are now listed for
         the group.
+    :ivar replies: the latest reply of each agent, shown to operators.
     """
 
     __slots__ = (
@@ -62,7 +64,7 @@
         '_fence',
         '_agents',
         '_transport',
-        '_numbers',
+        '_counters',
         '_incarnations',
         '_members',
         'replies',
@@ -76,40 +78,39 @@
         fence: int,
         agents: Callable[[], Sequence[str]],
         transport: Transport,
-        numbers: Numbers | None = None,
+        counters: Counters | None = None,
     ) -> None:
         self._group = group
         self._leader = leader
         self._fence = fence
         self._agents = agents
         self._transport = transport
-        self._numbers = numbers or Numbers()
+        self._counters = counters or Counters()
         self._incarnations: dict[str, int] = {}
         self._members: tuple[str, ...] = ()
-        #: The latest answer of each agent, for operators.
         self.replies: dict[str, map_orders.Reply | map_orders.Lost] = {}
 
     @property
     def fence(self) -> int:
-        """Return the fence under which this leader gives orders."""
+        """Return the fence under which orders are sent."""
         return self._fence
 
     def members(self) -> tuple[str, ...]:
         """Return the agents that were listed at the last inspection."""
         return self._members
 
-    def name_map(self) -> expert_maps.Version:
+    def new_version(self) -> expert_maps.Version:
         """Return a version that no other map of the group has."""
-        self._numbers.maps += 1
+        self._counters.maps += 1
         return expert_maps.Version(
-            fence=self._fence, number=self._numbers.maps
+            fence=self._fence, number=self._counters.maps
         )
 
     def slack(self) -> float:
-        """Return the seconds by which every call of the group can wait.
+        """Return the seconds by which every call of the group can be delayed.
 
-        All ranks advance together, so a change delays the calls beside
-        every agent, not only those beside the leader.
+        All ranks advance in lock-step, so a change delays the calls of every
+        agent, not only those of the leader's own.
         """
         return min(
             (
@@ -121,7 +122,7 @@
         )
 
     def find_agent(self, rank: int) -> str | None:
-        """Return the agent that carried a rank when it last answered."""
+        """Return the agent that reported a rank in its latest reply."""
         for agent, reply in self.replies.items():
             if isinstance(reply, map_orders.Reply):
                 if any(state.rank == rank for state in reply.states):
@@ -131,13 +132,13 @@
     async def inspect(
         self,
     ) -> tuple[map_orders.RankState, ...] | Failure:
-        """Return the states of all ranks, none of which an older leader
-        can still change.
+        """Return the states of all ranks, after renewing the members.
 
-        The agents that are now listed become the members.
+        The agents that are now listed become the members.  No older leader
+        can change the returned states any more.
         """
         self._members = tuple(self._agents())
-        self._forget_others()
+        self._forget_former_members()
         return await self.inspect_members()
 
     async def inspect_members(
@@ -145,10 +146,10 @@
     ) -> tuple[map_orders.RankState, ...] | Failure:
         """Return the states of all ranks of the members.
 
-        Agents first take on this leader's fence and tell their incarnation;
-        then all are asked again.  An agent that restarted in between may
-        know a lower fence and may have obeyed an older leader; the second
-        question, which names the incarnation, finds it out.
+        New agents first adopt this leader's fence and report their
+        incarnation; then all agents are asked again.  An agent that restarted
+        in between may know a lower fence and may have obeyed an older leader;
+        it refuses the second order, which names the old incarnation.
         """
         new = [one for one in self._members if one not in self._incarnations]
         failure = await self.send_each(
@@ -166,20 +167,20 @@
             for state in reply.states
         )
 
-    def _forget_others(self) -> None:
+    def _forget_former_members(self) -> None:
         for agent in set(self.replies) - set(self._members):
             del self.replies[agent]
         for agent in set(self._incarnations) - set(self._members):
             del self._incarnations[agent]
 
     async def send_all(self, body: map_orders.Body) -> Failure | None:
-        """Give all members one order; return what went wrong, if anything."""
+        """Send one order to all members; return a failure if there is one."""
         return await self.send_each({agent: body for agent in self._members})
 
     async def send_each(
         self, bodies: Mapping[str, map_orders.Body]
     ) -> Failure | None:
-        """Give each agent its order; return what went wrong, if anything."""
+        """Send each agent its order; return a failure if there is one."""
         answers = await self.ask_each(bodies)
         for failure in Failure:
             if failure in answers.values():
@@ -189,7 +190,7 @@
     async def ask_each(
         self, bodies: Mapping[str, map_orders.Body]
     ) -> dict[str, map_orders.Reply | Failure]:
-        """Give each agent its order; return what became of each."""
+        """Send each agent its order; return the result of each."""
         answers: dict[str, map_orders.Reply | Failure] = {}
 
         async def send(agent: str, body: map_orders.Body) -> None:
@@ -203,23 +204,23 @@
     async def send(
         self, agent: str, body: map_orders.Body
     ) -> map_orders.Reply | Failure:
-        """Give one agent an order; return its reply if it obeyed."""
-        self._numbers.orders += 1
+        """Send an order to one agent; return its reply if it obeyed."""
+        self._counters.orders += 1
         order = map_orders.Order(
             group=self._group,
             leader=self._leader,
             fence=self._fence,
             incarnation=self._incarnations.get(agent, 0),
-            sequence=self._numbers.orders,
+            sequence=self._counters.orders,
             body=body,
         )
         answer = await self._transport.order(rank_agent=agent, order=order)
         if isinstance(answer, map_orders.Lost):
             self.replies[agent] = answer
             return Failure.UNREACHED
-        return self._take(agent, answer)
+        return self._evaluate(agent, answer)
 
-    def _take(
+    def _evaluate(
         self, agent: str, reply: map_orders.Reply
     ) -> map_orders.Reply | Failure:
         if reply.fence > self._fence:
--- a/marigoldramp/map_decisions.py
+++ b/marigoldramp/map_decisions.py
@@ -1,10 +1,13 @@
-"""What a leader has to do next, worked out from the states of all ranks.
+"""Decides what a leader does next from the states of all ranks.
 
-The store keeps the fencing number only.  Everything else that a new leader
-must know is with the ranks: whether a change is armed, on which of them, and
-whether one of them still holds.  A held rank that is no longer held has been
-released, which happens only after every rank had armed; so then the change
-has to be finished.  While it is held, the change can still be undone.
+It applies where ranks refuse orders of older leaders; for others see
+:mod:`.map_decisions_unfenced`.
+
+The store keeps only the fencing number.  A new leader learns everything else
+from the ranks: whether a change is armed, on which of them, and whether one of
+them is still held.  While a rank is held, the change can be undone.  A rank
+is released only after every rank has armed the new map, so once none is held
+the change has to be finished.
 """
 
 import dataclasses
@@ -16,7 +19,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Missing:
-    """Some ranks are not seen, so nothing can be decided."""
+    """Some ranks did not report, so nothing can be decided."""
 
     ranks: tuple[int, ...]
 
@@ -30,17 +33,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Start:
-    """No rank has a map; the group has just started."""
+    """No rank has a map: the group has just started and is given one."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Undo:
-    """Some ranks have armed a map or loaded weights which is to be undone."""
+    """Armed maps and loaded weights of a change are to be dropped."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Admit:
-    """Ranks without a map are to adopt the schedule of the others."""
+    """Ranks without a map are to adopt the schedule of the others.
+
+    :ivar states: the states of the ranks without a map.
+    """
 
     schedule: expert_maps.Schedule
     states: tuple[map_orders.RankState, ...]
@@ -48,12 +54,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Release:
-    """All ranks agree; those that hold are to be released.
+    """All ranks agree; the held ones are to be released.
 
-    :ivar unarmed: nothing is armed, so an order to arm that is still on its
-        way must be made void first.  A rank that loads yet shows nothing of
-        the change; released at once, the group could reach the step while
-        such an order is carried out on one rank alone.
+    :ivar unarmed: nothing is armed, so orders to arm that are still on their
+        way must be invalidated first.  A rank that is still loading shows
+        nothing of the change; released at once, the group could reach the
+        step while such an order takes effect on one rank alone.
     """
 
     ranks: tuple[int, ...]
@@ -62,14 +68,17 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Await:
-    """All ranks have armed; the step of the change is still to come."""
+    """All ranks have armed a map and have yet to enter its first step."""
 
     schedule: expert_maps.Schedule
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Settled:
-    """All ranks use one map, nothing is armed, held or left over."""
+    """All ranks use one map; nothing is armed, held or left over.
+
+    :ivar entered: the last step that any rank has entered.
+    """
 
     version: expert_maps.Version
     entered: int
@@ -81,78 +90,78 @@
 
 
 def decide(*, states: Sequence[map_orders.RankState], ranks: int) -> Decision:
-    """Return what has to be done next.
+    """Return what the leader has to do next.
 
-    :param states: states of all ranks that were seen.
+    :param states: states of all ranks that reported.
     :param ranks: how many ranks the group has.
     """
-    seen = {state.rank for state in states}
-    missing = set(range(ranks)) - seen
-    if missing or len(states) != len(seen):
+    reported = {state.rank for state in states}
+    missing = set(range(ranks)) - reported
+    if missing or len(states) != len(reported):
         return Missing(ranks=tuple(sorted(missing)))
-    without = tuple(one for one in states if one.schedule is None)
-    if len(without) == ranks:
+    unmapped = tuple(one for one in states if one.schedule is None)
+    if len(unmapped) == ranks:
         return Start()
     schedules = [one.schedule for one in states if one.schedule is not None]
     holders = tuple(one.rank for one in states if one.hold_before is not None)
     pending = {one for one in schedules if one.following is not None}
     in_force = {one.in_force for one in schedules}
     if not pending:
-        return _decide_even(states, in_force, without, holders)
+        return _decide_unarmed(states, in_force, unmapped, holders)
     if len(pending) > 1 or len(in_force) > 2:
         return Disagree(versions=tuple(sorted(in_force)))
-    return _decide_pending(pending.pop(), schedules, without, holders)
+    return _decide_armed(pending.pop(), schedules, unmapped, holders)
 
 
-def _decide_even(
+def _decide_unarmed(
     states: Sequence[map_orders.RankState],
     in_force: set[expert_maps.Version],
-    without: tuple[map_orders.RankState, ...],
+    unmapped: tuple[map_orders.RankState, ...],
     holders: tuple[int, ...],
 ) -> Decision:
     if len(in_force) > 1:
         return Disagree(versions=tuple(sorted(in_force)))
     version = next(iter(in_force))
-    if any(_has_leftovers(one) for one in states):
+    if any(_has_unused_weights(one) for one in states):
         return Undo()
-    if without:
+    if unmapped:
         schedule = expert_maps.Schedule(in_force=version)
-        return Admit(schedule=schedule, states=without)
+        return Admit(schedule=schedule, states=unmapped)
     if holders:
         return Release(ranks=holders, unarmed=True)
     entered = max(one.entered for one in states)
     return Settled(version=version, entered=entered)
 
 
-def _has_leftovers(state: map_orders.RankState) -> bool:
+def _has_unused_weights(state: map_orders.RankState) -> bool:
     if state.schedule is None:
         return False
     return bool(state.loading) or state.loaded != (state.schedule.in_force,)
 
 
-def _decide_pending(
+def _decide_armed(
     armed: expert_maps.Schedule,
     schedules: Sequence[expert_maps.Schedule],
-    without: tuple[map_orders.RankState, ...],
+    unmapped: tuple[map_orders.RankState, ...],
     holders: tuple[int, ...],
 ) -> Decision:
     assert armed.following is not None
     moved = expert_maps.Schedule(in_force=armed.following)
     old = expert_maps.Schedule(in_force=armed.in_force)
-    kinds = set(schedules)
-    if not kinds <= {armed, moved, old}:
+    distinct = set(schedules)
+    if not distinct <= {armed, moved, old}:
         return Disagree(versions=tuple(one.in_force for one in schedules))
-    if old in kinds and moved in kinds:
+    if old in distinct and moved in distinct:
         return Disagree(versions=(old.in_force, moved.in_force))
-    if old in kinds:
+    if old in distinct:
         return Undo()
-    # A rank without a map may have to load weights for longer than the group
-    # can be kept waiting, so the change is undone while that is still safe.
-    if holders and without:
+    # A rank without a map may load weights for longer than the group can be
+    # kept waiting, so the change is undone while that is still safe.
+    if holders and unmapped:
         return Undo()
-    if without:
-        schedule = moved if moved in kinds else armed
-        return Admit(schedule=schedule, states=without)
+    if unmapped:
+        schedule = moved if moved in distinct else armed
+        return Admit(schedule=schedule, states=unmapped)
     if holders:
         return Release(ranks=holders)
     return Await(schedule=armed)
--- a/marigoldramp/map_decisions_unfenced.py
+++ b/marigoldramp/map_decisions_unfenced.py
@@ -1,19 +1,19 @@
-"""What a leader has to do next where ranks obey whoever orders them.
+"""Decides what a leader does next where ranks check no fencing token.
 
-Ranks that check no fencing token may carry out an order of an older leader,
-or a copy of one that was lost on its way, at any later moment.  So nothing
-here rests on an order being dead.  It rests on what a rank never takes back:
+Such ranks may carry out an order of an older leader, or one that was believed
+lost, at any later moment.  The decisions therefore never assume that an order
+without a reply has no effect.  They rely on what a rank guarantees:
 
-- It refuses a version that is not above all that it was told to prepare, and
-  from then on refuses to arm any older one.
+- It refuses to prepare a version that is not newer than all that it was told
+  to prepare before, and after it refuses to arm any older one.
 - It refuses to prepare anything while a map is armed.
 - It refuses to arm or to hold a step that has begun.
 
-An armed map is therefore completed by whoever leads.  It is given up only
-when a rank shows a newer version and so can never arm it any more.  A held
-step is released only when all ranks have armed one map, which nobody then
-gives up, or when all have taken a newer version since the hold was seen, so
-that no order to arm that is still on its way finds what it names.
+Every leader therefore completes a map that it finds armed.  It abandons one
+only when a rank reports a newer version, and so can never arm that map any
+more.  A held rank is released only when all ranks have armed one map, which
+no leader abandons then, or when all have prepared a newer version since the
+hold was seen, so that an order to arm that is still on its way is refused.
 """
 
 import dataclasses
@@ -28,7 +28,9 @@
 class Complete:
     """A map is armed on some ranks and is to be armed on the others.
 
-    :ivar in_force: the map that all still use.
+    :ivar in_force: the map that all ranks still use.
+    :ivar version: the armed map.
+    :ivar ranks: ranks that have not armed it.
     """
 
     in_force: expert_maps.Version
@@ -39,18 +41,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Abandon:
-    """An armed map that not all ranks can arm any more; it is disarmed."""
+    """Some ranks can no longer arm the armed map, so it is disarmed."""
 
     version: expert_maps.Version
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Seal:
-    """A step is held and nothing is armed.
+    """A rank is held and nothing is armed.
 
-    All ranks are to take a newer version of the map in force first.
-    Released at once, the group could pass the step while an order to arm
-    reaches some of its ranks.
+    All ranks have to prepare a newer version of the map in force before the
+    release.  Released at once, the group could pass the held step while an
+    order to arm reaches only some of its ranks.
+
+    :ivar version: the map in force.
+    :ivar holders: the ranks that are held.
     """
 
     version: expert_maps.Version
@@ -72,10 +77,13 @@
 def decide(
     *, states: Sequence[map_orders.RankState], ranks: int
 ) -> map_decisions.Decision | Decision:
-    """Return what has to be done next, see :func:`.map_decisions.decide`."""
-    seen = {state.rank for state in states}
-    missing = set(range(ranks)) - seen
-    if missing or len(states) != len(seen):
+    """Return what the leader has to do next.
+
+    See :func:`.map_decisions.decide`.
+    """
+    reported = {state.rank for state in states}
+    missing = set(range(ranks)) - reported
+    if missing or len(states) != len(reported):
         return map_decisions.Missing(ranks=tuple(sorted(missing)))
     schedules = {
         one.rank: one.schedule for one in states if one.schedule is not None
@@ -88,7 +96,7 @@
     if armed:
         return _decide_armed(armed.pop(), states, holders)
     if len(in_force) > 1:
-        # Reports of different moments, as the lag of each rank is its own.
+        # The reports lag by different times, so they show different moments.
         return map_decisions.Disagree(versions=tuple(sorted(in_force)))
     version = next(iter(in_force))
     if holders:
@@ -104,23 +112,25 @@
 ) -> Decision:
     version = armed.following
     assert version is not None
-    if any(_uses(one, version) for one in states):
-        # The step has begun, and reports of some ranks are older.
+    if any(_has_reached(one, version) for one in states):
+        # The step has begun; some reports are from before it.
         return map_decisions.Await(schedule=armed)
-    lacking = tuple(one for one in states if one.schedule != armed)
-    if any(max(one.loaded) > version for one in lacking):
+    unarmed = tuple(one for one in states if one.schedule != armed)
+    if any(max(one.loaded) > version for one in unarmed):
         return Abandon(version=version)
-    if lacking:
+    if unarmed:
         return Complete(
             in_force=armed.in_force,
             version=version,
             from_step=armed.from_step,
-            ranks=tuple(one.rank for one in lacking),
+            ranks=tuple(one.rank for one in unarmed),
         )
     if holders:
         return map_decisions.Release(ranks=holders)
     return map_decisions.Await(schedule=armed)
 
 
-def _uses(state: map_orders.RankState, version: expert_maps.Version) -> bool:
+def _has_reached(
+    state: map_orders.RankState, version: expert_maps.Version
+) -> bool:
     return state.schedule is not None and state.schedule.in_force >= version
--- a/marigoldramp/map_fences.py
+++ b/marigoldramp/map_fences.py
@@ -1,4 +1,4 @@
-"""How an agent that has just started learns the fence in force."""
+"""Finds the fence in force for an agent that has just started."""
 
 from typing import Awaitable
 from typing import Callable
@@ -12,14 +12,17 @@
 from . import map_orders
 from . import store as store_module
 
-#: Reads the fence from the lease object; ``None`` while the store is away.
+#: Reads the fence from the lease; ``None`` if the store does not answer.
 ReadFence = Callable[[], Awaitable[int | None]]
 
 
 async def read(
     *, platform: store_module.PlatformStore, key: store_module.Key
 ) -> int | None:
-    """Return the fence in a lease's object, ``None`` if unreadable."""
+    """Return the fence in a lease's object, ``None`` if unreadable.
+
+    It is 0 before anybody has held the lease.
+    """
     found = await platform.read(key=key)
     match found:
         case store_module.Stored(value=value):
@@ -44,10 +47,10 @@
 ) -> int | None:
     """Return the fence in force, or ``None`` while it cannot be known.
 
-    The store is asked first: it holds the fence of the newest leader before
-    that leader gives its first order.  While the store is away, all other
-    agents of the group are asked, and all have to know: had one of them not
-    answered, it could be the only one to which the newest leader has spoken.
+    The store is read first: it has the fence of the newest leader before that
+    leader sends its first order.  If the store does not answer, all other
+    agents of the group are asked, and every one has to return a fence: one
+    that stays silent could be the only one that the newest leader reached.
     """
     known = await read_fence()
     if known is not None:
--- a/marigoldramp/map_leader.py
+++ b/marigoldramp/map_leader.py
@@ -1,8 +1,8 @@
-"""The leader of one rank group: changes the expert map, one at a time.
+"""Leads one rank group: makes the changes of its expert map, one at a time.
 
-It holds the group's lease and alternates between settling the group, asking
-the planner and making a change.  Whatever goes wrong in a change, it falls
-back on settling.
+The leader holds the group's lease.  In a loop it brings all ranks to one map
+(:mod:`.map_reconciliation`), asks the planner for a change and makes it
+(:mod:`.map_changes`).  After a failed change reconciliation repairs the group.
 """
 
 from typing import Awaitable
@@ -36,31 +36,32 @@
         """Return the change to make now, if any."""
 
     def record_outcome(self, *, plan: Plan, done: bool) -> None:
-        """Learn whether a change took place."""
+        """Record whether a planned change took place."""
 
 
 class Lease(Protocol):
     """What the leader needs of :class:`.leases.Lease`."""
 
     async def acquire(self) -> object:
-        """Take the lease; the answer has ``fence`` when it is held."""
+        """Take the lease; the result has ``fence`` if it is held."""
 
     async def renew(self) -> object:
-        """Prolong it."""
+        """Extend the lease."""
 
     async def release(self) -> None:
-        """Give it up, so that another agent need not wait for its end."""
+        """Release the lease, so that others need not wait for it to lapse."""
 
     def held(self) -> bool:
-        """Say whether it is still held, by the holder's own clock."""
+        """Return whether it is still held, by the holder's own clock."""
 
 
 class Leader:
     """Leads one group for as long as it holds the lease.
 
     :param agents: returns the names of the agents that carry the group.
-    :param renew_seconds: between two renewals of the lease.
+    :param renew_seconds: time between two renewals of the lease.
     :param fenced: whether ranks refuse orders of older leaders.
+    :ivar client: the client of the current or last term, ``None`` before.
     """
 
     __slots__ = (
@@ -73,12 +74,12 @@
         '_planner',
         '_timing',
         '_sleep',
-        '_numbers',
-        '_settler',
+        '_counters',
+        '_reconciler',
         '_changer',
         '_current',
         '_resigning',
-        '_in_office',
+        '_is_leading',
         'client',
     )
 
@@ -107,8 +108,8 @@
         self._planner = planner
         self._timing = timing or Timing()
         self._sleep = sleep
-        self._numbers = map_client.Numbers()
-        self._settler = map_reconciliation.Settler(
+        self._counters = map_client.Counters()
+        self._reconciler = map_reconciliation.Reconciler(
             instance=instance,
             shape=shape,
             timing=self._timing,
@@ -119,58 +120,58 @@
             ),
             sleep=sleep,
         )
-        self._changer = map_changes.Changer(
+        self._changer = map_changes.MapChanger(
             instance=instance,
             timing=self._timing,
             clock=clock,
-            may_go_on=lease.held,
+            may_continue=lease.held,
             fenced=fenced,
             sleep=sleep,
         )
         self._current: expert_maps.ExpertMap | None = None
         self._resigning = False
-        self._in_office = False
+        self._is_leading = False
         self.client: map_client.GroupClient | None = None
 
     @property
     def decision(self) -> map_reconciliation.Decision | None:
-        """Return what was to be done when the group was last looked at."""
-        return self._settler.decision
+        """Return the latest decision of the reconciliation."""
+        return self._reconciler.decision
 
     @property
     def failure(self) -> Failure | None:
-        """Return why the last look at the group or deed in it failed."""
-        return self._settler.failure
+        """Return why the last inspection or order of it failed, if it did."""
+        return self._reconciler.failure
 
     async def run(self) -> None:
-        """Take the lease and lead, again and again, until resigned."""
+        """Contend for the lease, and lead while it is held, until resigned."""
         while not self._resigning:
             taken = await self._lease.acquire()
             fence = getattr(taken, 'fence', None)
             if fence is not None:
-                await self._hold_office(fence)
+                await self._lead_and_renew(fence)
             await self._sleep(self._timing.contend_seconds)
 
     async def resign(self) -> None:
-        """Return when the group is settled and the lease given up.
+        """Stop leading once the group is reconciled; release the lease.
 
-        A leader that just stopped in the middle of a change would leave a
-        rank held.  The whole group would wait until the lease has lapsed
-        and the next leader has found it, and every stream with it.
+        A leader that simply stopped in the middle of a change would leave a
+        rank held.  The whole group and all its streams would wait until the
+        lease has lapsed and the next leader has found the held rank.
         """
         self._resigning = True
-        while self._in_office:
+        while self._is_leading:
             await self._sleep(self._timing.retry_seconds)
 
-    async def _hold_office(self, fence: int) -> None:
-        self._in_office = True
+    async def _lead_and_renew(self, fence: int) -> None:
+        self._is_leading = True
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._renew)
                 await self._lead(fence)
                 tasks.cancel_scope.cancel()
         finally:
-            self._in_office = False
+            self._is_leading = False
 
     async def _renew(self) -> None:
         while True:
@@ -178,12 +179,12 @@
             await self._lease.renew()
 
     async def _lead(self, fence: int) -> None:
-        """Settle the group and change its map until deposed.
+        """Reconcile the group and change its map until deposed.
 
-        A leader whose lease has lapsed begins nothing new, but goes on
-        settling: with the store away nobody else can, and the group may be
-        waiting for a release.  That is safe as long as agents obey it; they
-        refuse it from the moment a newer leader has spoken to them.
+        A leader whose lease has lapsed starts no change, but finishes the
+        reconciliation: while the store is unavailable no other leader can
+        do so, and the group may be waiting for a release.  That is safe, as
+        agents refuse its orders once a newer leader has sent them one.
         """
         client = map_client.GroupClient(
             group=self._group,
@@ -191,24 +192,24 @@
             fence=fence,
             agents=self._agents,
             transport=self._transport,
-            numbers=self._numbers,
+            counters=self._counters,
         )
         self.client = client
         while True:
-            failure = await self._settler.settle(client)
+            failure = await self._reconciler.reconcile(client)
             if failure == Failure.DEPOSED or not self._lease.held():
                 return
             if self._resigning:
                 await self._lease.release()
                 return
-            if not await self._consider(client):
+            if not await self._plan_change(client):
                 await self._sleep(self._timing.poll_seconds)
 
-    async def _consider(self, client: map_client.GroupClient) -> bool:
-        """Ask the planner, and change the map if it wants that.
+    async def _plan_change(self, client: map_client.GroupClient) -> bool:
+        """Ask the planner for a change and make it.
 
-        :returns: whether a change was begun, so that the group is to be
-            settled at once.
+        :returns: whether a change was started, so that the group has to be
+            reconciled at once.
         """
         decision = self.decision
         if not isinstance(decision, map_decisions.Settled):
@@ -230,8 +231,9 @@
     ) -> expert_maps.ExpertMap | Failure:
         """Return the map in force, fetched once for each version.
 
-        A version never names two maps.  Fetched at every look, a map of 61
-        layers would cost more than all other control of the instance.
+        A version never names two maps.  Fetching a map of 61 layers at each
+        inspection would cost more than all other control traffic of the
+        instance.
         """
         if self._current is not None and self._current.version == version:
             return self._current
--- a/marigoldramp/map_moves.py
+++ b/marigoldramp/map_moves.py
@@ -1,12 +1,13 @@
-"""Search for moves of experts over all layers of one map.
-
-Each pass of a group takes the sum of what the most loaded rank of each layer
-takes, and a rank copies the experts of all layers over one link.  So the next
-move is always sought in the most uneven layer, and layers share what a rank
-may copy.  Searched one after the other, the first layers spent the copies of
-ranks on their last hundredths, and the last ones were left with
-their whole skew: after a shift that left 72 ranks with a skew of 6.0, five
-copies a rank led to 1.28 instead of 1.77.
+"""Searches for moves of experts over all layers of one map.
+
+The time of a pass is the sum over all layers of the time of the most loaded
+rank, and a rank copies the experts of all layers over one link.  The search
+therefore always takes the next move in the layer with the highest skew, and
+all layers share the number of experts that a rank may copy.  If layers were
+searched one after the other, the first ones would use up the copies for the
+last hundredths of their skew and the last ones would keep all of theirs.  For
+72 ranks with a skew of 6.0 after a shift of demand, five copies per rank lead
+to a skew of 1.28 instead of 1.77.
 """
 
 from typing import Sequence
@@ -18,9 +19,10 @@
 
 
 class _LayerState:
-    """A layer, and the best that has been found for it.
+    """The search in one layer and the best layer that it has found.
 
-    :ivar spent: copies since then.
+    :ivar spent: copies that the moves since the best layer need.
+    :ivar moves: moves made in this layer.
     """
 
     __slots__ = ('search', 'best', 'best_skew', 'spent', 'moves')
@@ -34,9 +36,10 @@
 
 
 class MapSearch:
-    """The state of all layers while moves are sought.
+    """A search for moves in all layers of a map.
 
-    :param min_gain_per_copy: least fall of the skew of a layer for one copy.
+    :param min_gain_per_copy: by how much each copy has to lower the skew of
+        its layer.
     :param max_moves: moves that are tried in one layer.
     """
 
@@ -54,23 +57,27 @@
         self._max_moves = max_moves
 
     async def improve(self) -> tuple[expert_maps.Layer, ...]:
-        """Make moves while they pay; return the best layers."""
-        left = list(self._layers)
-        while left:
-            layer = max(left, key=lambda one: one.search.skew)
+        """Make moves while they gain enough; return the best layers."""
+        remaining = list(self._layers)
+        while remaining:
+            layer = max(remaining, key=lambda one: one.search.skew)
             if not self._move(layer):
                 layer.search.restore(layer.best)
-                left.remove(layer)
-            # Streams of callers run in the same process.
+                remaining.remove(layer)
+            # Lets other tasks run: this process also serves callers' streams.
             await anyio.sleep(0)
         return tuple(one.best for one in self._layers)
 
     def _move(self, layer: _LayerState) -> bool:
         """Make the next move in a layer; return whether there was one."""
         search = layer.search
-        # No more can be gained than what is above an even layer.
-        unpaid = self._min_gain_per_copy * layer.spent
-        if layer.moves >= self._max_moves or unpaid >= layer.best_skew - 1.0:
+        # The skew of an even layer is 1, so no move can gain more than what
+        # the best skew is above it.
+        required_gain = self._min_gain_per_copy * layer.spent
+        if (
+            layer.moves >= self._max_moves
+            or required_gain >= layer.best_skew - 1.0
+        ):
             return False
         move = search.find()
         if move is None:
--- a/marigoldramp/map_orders.py
+++ b/marigoldramp/map_orders.py
@@ -1,11 +1,14 @@
-"""Orders of a rank group's leader to the agents of its ranks.
-
-Every order carries three numbers.  The *fence* tells leaders apart: an
-agent obeys only the highest it knows.  The *incarnation* names the start of
-the agent process for which the order is meant: a copy that was delayed past
-the agent's restart, when the agent no longer knows what it had already
-obeyed, is refused.  The *sequence* grows with each order of one leader: a
-late or doubled copy of an order that has been overtaken is refused.
+"""Messages between the leader of a rank group and the agents of its ranks.
+
+Every order carries three numbers, by which agents refuse outdated orders:
+
+- The *fence* is the fencing token of the leader.  An agent obeys only the
+  highest fence that it knows.
+- The *incarnation* identifies one start of the agent process.  A restarted
+  agent no longer knows which orders it has obeyed, so it refuses orders that
+  were sent to the process before.
+- The *sequence* grows with each order of a leader.  An agent refuses late
+  copies and duplicates of an order once it has obeyed a later one.
 """
 
 import enum
@@ -24,22 +27,22 @@
 class Count(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='n'
 ):
-    """Send what the ranks have counted; changes nothing, needs no fence."""
+    """Report the counts of all ranks; changes nothing, needs no fence."""
 
 
 class Inspect(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='i'
 ):
-    """Take on this leader's fence and report the state of all ranks."""
+    """Adopt this leader's fence and report the state of all ranks."""
 
 
 class Confirm(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='c'
 ):
-    """Report the state of all ranks; refused by a restarted agent.
+    """Report the state of all ranks; a restarted agent refuses.
 
-    :ivar settled: the report must show the effect of all orders that the
-        rank has obeyed.
+    :ivar settled: whether the report has to show the effect of all orders
+        that the ranks have obeyed.
     """
 
     settled: bool = True
@@ -48,7 +51,7 @@
 class Fetch(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='f'
 ):
-    """Send the contents of a map that some rank here uses."""
+    """Return a map that some rank of the agent uses or has loaded."""
 
     version: expert_maps.Version
 
@@ -56,9 +59,9 @@
 class Prepare(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='p'
 ):
-    """Begin to load the weights of a map; the reply does not wait.
+    """Start loading the weights of a map; the reply does not wait.
 
-    :ivar ranks: ranks that are to load it, empty for all of the agent.
+    :ivar ranks: ranks that are to load it; empty for all of the agent.
     """
 
     expert_map: expert_maps.ExpertMap
@@ -68,14 +71,14 @@
 class Hold(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='h'
 ):
-    """Do not enter this step, or the next one if it is entered already."""
+    """Keep a rank from entering a step, or the next if that has begun."""
 
     rank: int
     before_step: int
 
 
 class Arm(msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='a'):
-    """Use a loaded map from a step on."""
+    """Switch to a loaded map at a step that has not begun."""
 
     version: expert_maps.Version
     from_step: int
@@ -84,7 +87,7 @@
 class Release(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='r'
 ):
-    """Stop holding."""
+    """Let a held rank go on."""
 
     rank: int
 
@@ -92,9 +95,9 @@
 class Undo(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='u'
 ):
-    """Forget an armed map and drop weights that no map in force needs.
+    """Disarm a map and drop weights that the map in force does not need.
 
-    :ivar version: the map to forget; ``None`` for whichever is armed.
+    :ivar version: the map to disarm; ``None`` for any that is armed.
     """
 
     version: expert_maps.Version | None = None
@@ -125,7 +128,7 @@
 
 
 class Order(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One order, see the module's text for the three numbers."""
+    """One order; the module's docstring explains the three numbers."""
 
     group: str
     leader: str
@@ -136,7 +139,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why an agent did not do what it was ordered."""
+    """Why an agent did not carry out an order."""
 
     NONE = ''
     OTHER_GROUP = 'other_group'
@@ -155,14 +158,15 @@
 
 
 class RankState(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What an engine says about one rank.
+    """The state of one rank, as its engine reports it.
 
     :ivar entered: the last step that the rank has entered; 0 for none.
     :ivar schedule: ``None`` when the rank has no map, as after a restart of
         its engine; such a rank enters no step.
     :ivar loaded: versions whose weights are all loaded.
     :ivar loading: the version whose weights are being loaded.
-    :ivar hold_before: the rank does not enter this step or a later one.
+    :ivar hold_before: the step before which the rank is held; it enters
+        neither this one nor a later one.
     """
 
     rank: int
@@ -177,11 +181,11 @@
     """An agent's answer to an order.
 
     :ivar fence: the highest fence that the agent knows, 0 for none yet.
-    :ivar states: all ranks of the agent whose engine answered.
+    :ivar states: states of all ranks of the agent whose engine answered.
     :ivar expert_map: the answer to ``Fetch``.
-    :ivar slack: seconds by which every call that runs beside the agent can
-        be delayed without missing its promised deadline.
-    :ivar reports: the answer to ``Count``, of all ranks together.
+    :ivar slack: seconds by which every call that the agent runs can be
+        delayed without missing its promised deadline.
+    :ivar reports: the answer to ``Count``, merged over all ranks.
     """
 
     refusal: Refusal
@@ -194,7 +198,7 @@
 
     @property
     def accepted(self) -> bool:
-        """Say whether the order was obeyed."""
+        """Return whether the order was obeyed."""
         return self.refusal == Refusal.NONE
 
 
--- a/marigoldramp/map_ranks.py
+++ b/marigoldramp/map_ranks.py
@@ -1,9 +1,8 @@
 """The agent's side of an expert-map change.
 
-``OrderHandler`` stands between a group's leader and the engines of the ranks
-beside this agent.  It refuses what is old, so that an engine which ignores
-fencing numbers is as safe as one which checks them, and it gives engines one
-order at a time.
+``OrderHandler`` passes the orders of a group's leader to the engines of this
+agent's ranks, one order at a time.  It refuses outdated orders, so that an
+engine that ignores fencing numbers is as safe as one that checks them.
 """
 
 import abc
@@ -22,7 +21,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class EngineRefusal:
-    """An engine did not do what it was asked."""
+    """An engine did not carry out a call."""
 
     reason: map_orders.Refusal
 
@@ -31,17 +30,17 @@
 
 
 class RankEngine(abc.ABC):
-    """What the program needs of the engine of one rank.
+    """Interface to the engine of one rank.
 
-    Every call returns soon; loading goes on in the engine.  Calls are
-    idempotent: asked again for what it has done, an engine accepts.  After a
-    restart an engine has no map and enters no step before it has adopted
-    one.  No call takes effect after it has ended, also when it failed.
+    Every call returns soon; loading continues in the engine.  Calls are
+    idempotent: an engine accepts a call whose effect is already there.  After
+    a restart an engine has no map and enters no step before it has adopted
+    one.  A call has no effect after it has returned, even if it failed.
     """
 
     @abc.abstractmethod
     async def state(self) -> EngineAnswer:
-        """Report the state."""
+        """Return the state of the rank."""
 
     @abc.abstractmethod
     async def fetch_map(
@@ -50,20 +49,20 @@
         """Return a map that the rank uses or has loaded."""
 
     async def fetch_report(self) -> popularity.Report | None:
-        """Return what the rank has counted since it was last asked."""
+        """Return the counts since the last call."""
         return None
 
     @abc.abstractmethod
     async def prepare(
         self, *, fence: int, expert_map: expert_maps.ExpertMap
     ) -> EngineAnswer:
-        """Begin to load the weights that a map needs."""
+        """Start loading the weights that a map needs."""
 
     @abc.abstractmethod
     async def hold(self, *, fence: int, before_step: int) -> EngineAnswer:
         """Do not enter ``before_step``, or the next step if that is later.
 
-        A hold that is in place already is never moved to a later step.
+        An existing hold is never moved to a later step.
         """
 
     @abc.abstractmethod
@@ -74,35 +73,35 @@
 
     @abc.abstractmethod
     async def release(self, *, fence: int) -> EngineAnswer:
-        """Stop holding."""
+        """Let the rank go on."""
 
     @abc.abstractmethod
     async def undo(self, *, fence: int) -> EngineAnswer:
-        """Forget an armed map, drop weights that the one in force spares."""
+        """Disarm a map; drop weights that the one in force does not need."""
 
     @abc.abstractmethod
     async def adopt(
         self, *, fence: int, schedule: expert_maps.Schedule
     ) -> EngineAnswer:
-        """Take on a schedule; only for a rank that has none."""
+        """Adopt a schedule; only for a rank that has none."""
 
 
 #: Returns the fence in force, or ``None`` while it cannot be known.
 LearnFence = Callable[[], Awaitable[int | None]]
 
 
-def _no_calls() -> float:
+def _no_deadline() -> float:
     return math.inf
 
 
 class OrderHandler:
-    """The ranks beside one agent, as their group's leader sees them.
+    """Obeys or refuses the orders to the ranks of one agent.
 
     :param engines: engine of each rank, by rank.
     :param incarnation: number of this start of the agent process.
-    :param learn_fence: finds the fence in force after a start.
-    :param slack: returns the seconds by which every call that runs here can
-        be delayed without missing its promised deadline.
+    :param learn_fence: returns the fence in force; called after a start.
+    :param slack: returns the seconds by which every call that the agent runs
+        can be delayed without missing its promised deadline.
     """
 
     __slots__ = (
@@ -123,7 +122,7 @@
         engines: Mapping[int, RankEngine],
         incarnation: int,
         learn_fence: LearnFence,
-        slack: Callable[[], float] = _no_calls,
+        slack: Callable[[], float] = _no_deadline,
     ) -> None:
         self._group = group
         self._engines = dict(sorted(engines.items()))
@@ -136,7 +135,7 @@
 
     @property
     def fence(self) -> int | None:
-        """Return the highest fence known, ``None`` before one is."""
+        """Return the highest known fence, ``None`` before one is known."""
         return self._fence
 
     async def handle(self, order: map_orders.Order) -> map_orders.Reply:
@@ -147,10 +146,10 @@
             return await self._report(map_orders.Refusal.NONE)
         if self._fence is None:
             await self._learn()
-        # An order is carried out to its end even when its sender has gone:
-        # given up half way, its engine calls could still take effect after a
-        # newer leader's order had been answered, and that leader would act
-        # on a state that is no longer true.
+        # An order is carried out to its end even if its sender disconnects.
+        # If it were cancelled, its engine calls could take effect after a
+        # newer leader's order was answered, and that leader would act on an
+        # outdated state.
         with anyio.CancelScope(shield=True):
             async with self._lock:
                 refusal = self._check(order)
@@ -161,9 +160,9 @@
         return reply
 
     async def _learn(self) -> None:
-        # A process that has just started knows no fence.  If it obeyed the
-        # first order that comes, that order could be a deposed leader's, and
-        # a rank without a map would adopt one that is no longer in force.
+        # A process that has just started knows no fence.  The first order
+        # that arrives may come from a deposed leader; if it were obeyed, a
+        # rank without a map could adopt one that is no longer in force.
         known = await self._learn_fence()
         if known is not None:
             self._fence = max(known, self._fence or 0)
@@ -191,31 +190,33 @@
             case map_orders.Fetch(version=version):
                 return await self._fetch(version)
             case map_orders.Prepare(expert_map=expert_map, ranks=ranks):
-                refusal = await self._each(
+                refusal = await self._call_engines(
                     lambda one: one.prepare(
                         fence=fence, expert_map=expert_map
                     ),
                     ranks,
                 )
             case map_orders.Hold(rank=rank, before_step=step):
-                refusal = await self._each(
+                refusal = await self._call_engines(
                     lambda one: one.hold(fence=fence, before_step=step),
                     (rank,),
                 )
             case map_orders.Arm(version=version, from_step=step):
-                refusal = await self._each(
+                refusal = await self._call_engines(
                     lambda one: one.arm(
                         fence=fence, version=version, from_step=step
                     )
                 )
             case map_orders.Release(rank=rank):
-                refusal = await self._each(
+                refusal = await self._call_engines(
                     lambda one: one.release(fence=fence), (rank,)
                 )
             case map_orders.Undo():
-                refusal = await self._each(lambda one: one.undo(fence=fence))
+                refusal = await self._call_engines(
+                    lambda one: one.undo(fence=fence)
+                )
             case map_orders.Adopt(rank=rank, schedule=schedule):
-                refusal = await self._each(
+                refusal = await self._call_engines(
                     lambda one: one.adopt(fence=fence, schedule=schedule),
                     (rank,),
                 )
@@ -223,22 +224,22 @@
                 refusal = map_orders.Refusal.NONE
         return await self._report(refusal)
 
-    async def _each(
+    async def _call_engines(
         self,
         call: Callable[[RankEngine], Awaitable[EngineAnswer]],
         ranks: tuple[int, ...] = (),
     ) -> map_orders.Refusal:
-        """Call the engines of some ranks, or of all; return a refusal."""
+        """Call the engines of some or all ranks; return the first refusal."""
         chosen = ranks or tuple(self._engines)
         if not set(chosen) <= set(self._engines):
             return map_orders.Refusal.NO_SUCH_RANK
-        answers = await self._gather(call, chosen)
+        answers = await self._collect_answers(call, chosen)
         for answer in answers:
             if isinstance(answer, EngineRefusal):
                 return answer.reason
         return map_orders.Refusal.NONE
 
-    async def _gather(
+    async def _collect_answers(
         self,
         call: Callable[[RankEngine], Awaitable[EngineAnswer]],
         ranks: tuple[int, ...],
@@ -261,7 +262,7 @@
         return self._reply(map_orders.Refusal.NO_MAP)
 
     async def _report(self, refusal: map_orders.Refusal) -> map_orders.Reply:
-        answers = await self._gather(
+        answers = await self._collect_answers(
             lambda one: one.state(), tuple(self._engines)
         )
         states = tuple(
--- a/marigoldramp/map_reconciliation.py
+++ b/marigoldramp/map_reconciliation.py
@@ -1,7 +1,8 @@
-"""Brings the ranks of a group to one map, whatever state they are in.
+"""Brings all ranks of a group to one map, whatever state they are in.
 
-It looks at all ranks, does the next thing that :mod:`.map_decisions` says, and
-looks again.  A new leader begins with it, and each change ends in it.
+The loop reads the states of all ranks, carries out what :mod:`.map_decisions`
+(or :mod:`.map_decisions_unfenced`) decides, and reads them again.  It runs
+when a leader starts and after each map change.
 """
 
 import dataclasses
@@ -27,25 +28,24 @@
 
 
 class Decide(Protocol):
-    """Says what to do next, by the states of all ranks."""
+    """Decides what to do next from the states of all ranks."""
 
     def __call__(
         self, *, states: Sequence[map_orders.RankState], ranks: int
     ) -> Decision:
-        """Return what has to be done next."""
+        """Return what the leader has to do next."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Timing:
-    """Times of the leader, in seconds or steps.
+    """Intervals at which a leader acts.
 
-    :ivar poll_seconds: between two looks at the group.
+    :ivar poll_seconds: between two inspections of the group.
     :ivar retry_seconds: between two attempts at something that failed.
-    :ivar contend_seconds: between two attempts to take a lease that is
-        another's; each
-        costs a call of the platform's store.
-    :ivar lead_steps: how far ahead of the group the hold is placed.  Too
-        few and the group waits for the change; too many delay it only.
+    :ivar contend_seconds: between two attempts to take a lease that another
+        process holds; each costs a call to the platform's store.
+    :ivar lead_steps: how many steps ahead of the group a rank is held.  Too
+        few make the group wait for the change; too many only delay it.
     """
 
     poll_seconds: float = 1.0
@@ -54,15 +54,16 @@
     lead_steps: int = 8
 
 
-class Settler:
-    """Settles one group, in the name of one leader.
+class Reconciler:
+    """Runs the reconciliation loop of one leader.
 
-    :param shape: dimensions of the map that a group without one is given.
+    :param shape: dimensions of the map that is given to a group without one.
     :param decide: :func:`.map_decisions.decide` where ranks refuse orders of
         older leaders, :func:`.map_decisions_unfenced.decide` where they do
         not.
-    :ivar decision: what was to be done at the last look, for operators.
-    :ivar failure: why the last look or deed failed, ``None`` if it did not.
+    :ivar decision: the latest decision, shown to operators.
+    :ivar failure: why the last inspection or order failed, ``None`` if it
+        succeeded.
     """
 
     __slots__ = (
@@ -92,8 +93,13 @@
         self.decision: Decision | None = None
         self.failure: Failure | None = None
 
-    async def settle(self, client: map_client.GroupClient) -> Failure | None:
-        """Bring all ranks to one map with nothing armed, held or left."""
+    async def reconcile(
+        self, client: map_client.GroupClient
+    ) -> Failure | None:
+        """Bring all ranks to one map with nothing armed, held or left over.
+
+        Return a failure only when a newer leader has taken over.
+        """
         while True:
             states = await client.inspect()
             if isinstance(states, Failure):
@@ -108,11 +114,11 @@
             self._note_failure(failure)
             if failure == Failure.DEPOSED:
                 return failure
-            if failure is not None or not _goes_on(self.decision):
+            if failure is not None or not _has_acted(self.decision):
                 await self._sleep(self._timing.retry_seconds)
 
     def _note_decision(self, decision: Decision) -> None:
-        """Remember what is to be done; tell when that changes."""
+        """Store a decision and log it if it is new."""
         if decision != self.decision and not isinstance(
             decision, map_decisions.Settled
         ):
@@ -125,7 +131,7 @@
         self.decision = decision
 
     def _note_failure(self, failure: Failure | None) -> None:
-        """Remember why a look or deed failed; tell when that changes."""
+        """Store why an iteration failed and log it if that is new."""
         if failure != self.failure:
             logging.info(
                 'ranks looked at',
@@ -172,9 +178,10 @@
     ) -> Failure | None:
         """Arm a map on the ranks that have not armed it yet.
 
-        A rank that refuses has lost the map to one that it copies still,
-        which its report does not show.  Left so, the group would stand for
-        good, so the rank is given a version that its report does show.
+        A rank refuses when a later ``Prepare`` has replaced the map by one
+        that it is still copying, which its report does not show.  The group
+        would then wait forever, so the rank is given a version that its
+        report does show.
         """
         order = map_orders.Arm(
             version=decision.version, from_step=decision.from_step
@@ -198,14 +205,14 @@
     ) -> Failure | None:
         """Give agents the map in force again, under a newer version.
 
-        It brings no new experts, so it is prepared at once, and no older
-        version can be armed from then on.
+        That map needs no new weights, so it is prepared at once, and from
+        then on the agents refuse to arm any older version.
         """
         found = await fetch(client, version)
         if isinstance(found, Failure):
             return found
         newer = expert_maps.ExpertMap(
-            version=client.name_map(), layers=found.layers
+            version=client.new_version(), layers=found.layers
         )
         return await client.send_each(
             {agent: map_orders.Prepare(expert_map=newer) for agent in agents}
@@ -214,12 +221,12 @@
     async def _start_group(
         self, client: map_client.GroupClient
     ) -> Failure | None:
-        version = client.name_map()
-        first = expert_maps.spread(shape=self._shape, version=version)
+        version = client.new_version()
+        initial = expert_maps.spread(shape=self._shape, version=version)
         schedule = expert_maps.Schedule(in_force=version)
         while True:
             failure = await client.send_all(
-                map_orders.Prepare(expert_map=first)
+                map_orders.Prepare(expert_map=initial)
             )
             if failure is not None:
                 return failure
@@ -238,15 +245,15 @@
         schedule: expert_maps.Schedule,
         states: Sequence[map_orders.RankState],
     ) -> Failure | None:
-        """Load maps on ranks that have none, then let them adopt."""
-        waiting = False
+        """Load maps on ranks that have none, then have them adopt those."""
+        loading = False
         for state in states:
             agent = client.find_agent(state.rank)
             if agent is None:
                 return Failure.UNREACHED
             lacking = set(schedule.versions()) - set(state.loaded)
             for version in sorted(lacking):
-                waiting = True
+                loading = True
                 failure = await self._load(client, agent, state.rank, version)
                 if failure is not None:
                     return failure
@@ -258,7 +265,7 @@
             )
             if isinstance(answer, Failure):
                 return answer
-        if waiting:
+        if loading:
             await self._sleep(self._timing.retry_seconds)
         return None
 
@@ -281,7 +288,7 @@
 async def fetch(
     client: map_client.GroupClient, version: expert_maps.Version
 ) -> expert_maps.ExpertMap | Failure:
-    """Return a map's contents from whichever agent has them."""
+    """Return a map, fetched from the first agent that has it."""
     failure = Failure.REFUSED
     for agent in client.members():
         answer = await client.send(agent, map_orders.Fetch(version=version))
@@ -296,7 +303,7 @@
 async def release(
     client: map_client.GroupClient, ranks: Sequence[int], instance: str
 ) -> Failure | None:
-    """Release ranks that hold."""
+    """Release held ranks."""
     for rank in ranks:
         agent = client.find_agent(rank)
         if agent is None:
@@ -310,7 +317,7 @@
 
 
 def _describe(decision: Decision) -> dict[str, str]:
-    """Return the ranks and maps that a decision is about, for the log."""
+    """Return the log fields with the ranks and versions of a decision."""
     match decision:
         case map_decisions.Missing(ranks=ranks):
             return {'ranks': _join(ranks)}
@@ -333,8 +340,8 @@
     return ', '.join(map(str, values))
 
 
-def _goes_on(decision: Decision | None) -> bool:
-    """Say whether to look again at once, as something has been done."""
+def _has_acted(decision: Decision | None) -> bool:
+    """Return whether to inspect again at once, as something was done."""
     return not isinstance(
         decision,
         map_decisions.Missing | map_decisions.Disagree | map_decisions.Await,
