--- a/marigoldramp/expert_maps.py
+++ b/marigoldramp/expert_maps.py
@@ -1,8 +1,8 @@
 """Expert maps: which rank holds which experts, under which version.
 
 A map lists, for each layer and each rank, the experts whose weights that
-rank holds.  An expert may stand on several ranks (replicas); its load is
-then shared evenly.  A map is a value: a change makes a new one.
+rank holds.  Several ranks may hold replicas of an expert and then share its
+load evenly.  Maps are immutable: a change makes a new one.
 """
 
 from typing import Sequence
@@ -18,10 +18,10 @@
 class Version(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, order=True
 ):
-    """Name of a map, unique in its group.
+    """Identifies a map; unique in its group.
 
-    Two leaders can never name different maps alike, because each numbers
-    its maps under its own fencing number.
+    Two leaders never give one version to different maps, as each numbers its
+    maps under its own fencing number.
     """
 
     fence: int
@@ -32,7 +32,7 @@
 
 
 class ExpertMap(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A whole map of a group."""
+    """The layers of a group's map and its version."""
 
     version: Version
     layers: tuple[Layer, ...]
@@ -64,7 +64,10 @@
 
 
 class Shape(msgspec.Struct, frozen=True, kw_only=True):
-    """Dimensions of a group's maps."""
+    """Dimensions of a group's maps.
+
+    :ivar slots: experts that a rank can hold in each layer.
+    """
 
     ranks: int
     experts: int
@@ -73,7 +76,7 @@
 
 
 def spread(*, shape: Shape, version: Version) -> ExpertMap:
-    """Return the map that deals experts out evenly, in order.
+    """Return the map that assigns experts to ranks evenly, in order.
 
     Slots left over hold further replicas, again in order, so that every
     rank holds exactly ``slots`` experts.
@@ -88,10 +91,10 @@
 
 
 def check(*, expert_map: ExpertMap, shape: Shape) -> tuple[str, ...]:
-    """Return what is wrong with a map, nothing when it can be used.
+    """Return what is wrong with a map; nothing if it can be used.
 
-    A map that lacks an expert would fail only when a token asks for that
-    expert, on one rank, long after the change; so it is checked before.
+    Maps are checked before the change, as a map without some expert would
+    fail on one rank only when a token needs that expert, long after it.
     """
     faults = []
     if len(expert_map.layers) != shape.layers:
--- a/marigoldramp/leases.py
+++ b/marigoldramp/leases.py
@@ -1,22 +1,21 @@
 """Leases in the platform's store, with fencing numbers.
 
-A lease is one object that its holder renews.  Others take it over only when
-they have seen it unchanged for its whole time by their own monotonic clock,
-so no two clocks are compared.  A holder counts its time from the *start* of
-its last renewal, less a margin, and so stops to hold before anybody else
-begins.
-
-A holder can still be paused between asking :meth:`Lease.held` and acting.
-Hence the fencing number, which grows with each change of hands: whoever
-takes orders refuses a lower number than it has seen.
-
-Where those who take orders check that number, nothing rests on the time, and
-a holder that is known to have ended may be succeeded at once.
-
-A store that is restored from a copy brings back older records, or none.  The
-fencing numbers in them have been given out since, and a record of our own says
-nothing of who holds the lease now: each restore begins numbers above all of
-before, and whoever held the lease has to take it anew.
+A lease is one object that its holder renews.  Another contender takes it over
+only after it has seen the object unchanged for the whole duration of the
+lease by its own monotonic clock, so clocks are never compared.  The holder
+counts the duration from the *start* of its last renewal, less a margin, and
+so stops holding before another contender starts.
+
+A holder can still be paused between calling :meth:`Lease.held` and acting.
+The fencing number protects against that: it grows with each new holder, and
+receivers of orders refuse a number lower than one that they have seen.  Where
+all receivers check it, safety does not depend on time, and the lease of a
+holder that is known to have ended may be taken over at once.
+
+A store that is restored from a backup returns older records, or none.  The
+fencing numbers after them have been used, and a record of our own does not
+show who holds the lease now.  Each restore therefore starts an era whose
+numbers are above all earlier ones, and the holder has to take the lease anew.
 """
 
 import collections
@@ -32,13 +31,13 @@
 from . import store as store_module
 
 KIND = 'leases'
-#: Part of a lease's time by which its holder stops before others may start,
-#: for clocks that run at different rates.
-MARGIN_SHARE = 0.2
+#: Part of a lease's duration by which its holder stops before others start,
+#: as clocks run at different rates.
+DEFAULT_MARGIN_SHARE = 0.2
 #: Own writes that are still recognised when they take effect late.
-MOST_ATTEMPTS = 16
-#: Fencing numbers between two restores of the store: changes of hands, of
-#: which there are some each day.
+MAX_REMEMBERED_WRITES = 16
+#: Fencing numbers of one era, that is new holders between two restores of the
+#: store; there are a few a day.
 FENCES_PER_ERA = 1 << 16
 
 
@@ -46,7 +45,8 @@
     """Value of a lease's object, as JSON.
 
     :ivar holder: instance name, empty once the lease is released.
-    :ivar nonce: tells the writer that a write was its own.
+    :ivar seconds: duration of the lease.
+    :ivar nonce: random value by which a writer recognises its own write.
     """
 
     holder: str
@@ -67,7 +67,7 @@
     """The lease is not held by us.
 
     :ivar holder: who holds it, empty if that is not known.
-    :ivar detail: one sentence for a person.
+    :ivar detail: the reason, for people to read.
     """
 
     holder: str = ''
@@ -75,10 +75,10 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Attempt:
-    """A write of ours, which may take effect after we have given it up.
+class _Write:
+    """A write of ours; it may take effect after it was reported as failed.
 
-    :ivar era: of the store when it was made.
+    :ivar era: the era of the store when the write was started.
     """
 
     nonce: str
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Sight:
+class _Observation:
     """The version of another holder's record, and when we first saw it."""
 
     version: int
@@ -96,8 +96,8 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Grip:
-    """Our hold on the lease."""
+class _Ownership:
+    """The version of the record by which we hold the lease."""
 
     version: int
     fence: int
@@ -107,25 +107,25 @@
     """One contender for one lease; used by one task at a time.
 
     :param holder: this process's instance name.
-    :param seconds: time for which a renewal lasts.
-    :param margin: seconds by which a holder stops early.
-    :param is_gone: whether a holder is known to have ended.  Only for a lease
-        whose fencing number is checked wherever the holder acts: one that was
-        taken for gone and lives goes on until it is refused.
+    :param seconds: duration of the lease after each renewal.
+    :param margin: seconds by which the holder stops early.
+    :param is_gone: returns whether a holder is known to have ended.  Only for
+        a lease whose fencing number is checked wherever the holder acts: a
+        holder wrongly believed to have ended acts until it is refused.
     """
 
     __slots__ = (
-        '_attempts',
+        '_own_writes',
         '_clock',
-        '_grip',
-        '_highest',
+        '_owned',
+        '_highest_fence',
         '_holder',
         '_is_gone',
         '_key',
-        '_lasts',
+        '_expires_at',
         '_margin',
         '_seconds',
-        '_sight',
+        '_observed',
         '_store',
     )
 
@@ -145,89 +145,94 @@
         self._key = store_module.Key(kind=KIND, name=name)
         self._holder = holder
         self._seconds = seconds
-        self._margin = MARGIN_SHARE * seconds if margin is None else margin
+        self._margin = (
+            DEFAULT_MARGIN_SHARE * seconds if margin is None else margin
+        )
         self._clock = clock
-        self._attempts: collections.deque[_Attempt] = collections.deque(
-            maxlen=MOST_ATTEMPTS
+        self._own_writes: collections.deque[_Write] = collections.deque(
+            maxlen=MAX_REMEMBERED_WRITES
         )
-        self._grip: _Grip | None = None
-        self._sight: _Sight | None = None
-        self._highest = 0
-        self._lasts = float('-inf')
+        self._owned: _Ownership | None = None
+        self._observed: _Observation | None = None
+        self._highest_fence = 0
+        self._expires_at = float('-inf')
 
     def held(self) -> bool:
         """Return whether we hold the lease, by our own clock alone."""
-        return self._grip is not None and self._clock() < self._lasts
+        return self._owned is not None and self._clock() < self._expires_at
 
     def is_unchallenged(self) -> bool:
-        """Return whether we had the lease and know of nobody who took it.
+        """Return whether we took the lease and know of no later holder.
 
-        It may have lapsed; others may have it while the store is away.
+        It may have lapsed, and while the store does not answer another
+        contender may hold it.
         """
-        return self._grip is not None
+        return self._owned is not None
 
     async def acquire(self) -> Held | NotHeld:
-        """Take the lease if it is free; keep it if it is ours."""
-        if self._grip is not None:
+        """Take the lease if it is free; renew it if it is ours."""
+        if self._owned is not None:
             return await self.renew()
         found = await self._store.read(key=self._key)
         match found:
             case store_module.Unavailable(detail=detail):
                 return NotHeld(detail=detail)
             case store_module.Absent():
-                if self._may_be_held_unseen():
+                if self._may_have_unseen_holder():
                     return NotHeld(detail='the store was just restored')
                 return await self._take(store_module.CREATE)
             case store_module.Stored():
-                return await self._contend(found)
+                return await self._acquire_existing(found)
 
     async def renew(self) -> Held | NotHeld:
-        """Prolong the lease; ``Held`` only while it lasts by our clock."""
-        if self._grip is None:
-            return NotHeld(detail='it was not held')
-        return await self._write(self._grip.version, self._grip.fence)
+        """Renew the lease; ``Held`` only while it lasts by our clock."""
+        if self._owned is None:
+            return NotHeld(detail='the lease was not held')
+        return await self._write(self._owned.version, self._owned.fence)
 
     async def release(self) -> None:
-        """Give the lease up, so that others need not wait for its end."""
-        if self._grip is None:
+        """Release the lease, so that others need not wait for it to lapse."""
+        if self._owned is None:
             return
-        grip, self._grip = self._grip, None
-        self._lasts = float('-inf')
-        # A reading that lags would show the lease as ours again.
-        self._attempts.clear()
+        owned, self._owned = self._owned, None
+        self._expires_at = float('-inf')
+        # A stale read could show the lease as ours again.
+        self._own_writes.clear()
         value = self._encode(
-            holder='', fence=grip.fence, nonce=secrets.token_hex(8)
+            holder='', fence=owned.fence, nonce=secrets.token_hex(8)
         )
         await self._store.write(
-            key=self._key, value=value, expected=grip.version
+            key=self._key, value=value, expected=owned.version
         )
 
-    async def _contend(self, found: store_module.Stored) -> Held | NotHeld:
+    async def _acquire_existing(
+        self, found: store_module.Stored
+    ) -> Held | NotHeld:
         record = _decode(found.value)
         if record is None:
-            # A fencing number that cannot be read cannot be exceeded.
+            # Without the fencing number no higher one can be chosen.
             return NotHeld(detail=f'{self._key} cannot be read')
-        if self._recognise(found, record):
+        if self._adopt_own_write(found, record):
             return await self.renew()
-        self._highest = max(self._highest, record.fence)
-        if record.fence <= self._least_fence():
-            return await self._succeed_restored(found, record)
+        self._highest_fence = max(self._highest_fence, record.fence)
+        if record.fence <= self._last_fence_before_restore():
+            return await self._take_over_restored(found, record)
         holder = record.holder
         lapsed = self._has_lapsed(found, record)
         if holder and not lapsed and not self._is_gone(holder):
             return NotHeld(holder=holder)
         return await self._take(found.version)
 
-    async def _succeed_restored(
+    async def _take_over_restored(
         self, found: store_module.Stored, record: Record
     ) -> Held | NotHeld:
-        """Take the lease over from a record that a restore has brought back.
+        """Take over a lease whose record is from before a restore.
 
-        Whoever had it last may be another one than it names.
+        The last holder may be another one than the record names.
         """
         lapsed = self._has_lapsed(found, record)
-        was_ours = self._clock() < self._lasts
-        if self._may_be_held_unseen():
+        was_ours = self._clock() < self._expires_at
+        if self._may_have_unseen_holder():
             return NotHeld(
                 holder=record.holder, detail='the store was just restored'
             )
@@ -235,114 +240,124 @@
             return NotHeld(holder=record.holder)
         return await self._take(found.version)
 
-    def _may_be_held_unseen(self) -> bool:
-        """Whether somebody may hold the lease of whom no record is left.
+    def _may_have_unseen_holder(self) -> bool:
+        """Return whether a holder may exist of which no record is left.
 
-        That lasts for the time of a lease from when the store came back.  We
-        are not kept out by it if it was we who held it.
+        That is possible for the duration of a lease after the store was
+        restored, unless we were the holder.
         """
         now = self._clock()
         if now - self._store.restored_at() >= self._seconds:
             return False
-        return now >= self._lasts
+        return now >= self._expires_at
 
     def _has_lapsed(self, found: store_module.Stored, record: Record) -> bool:
-        """Return whether the record has not changed for its whole time.
+        """Return whether the record was unchanged for its whole duration.
 
-        A reading can be older than the time at which its reply arrives,
-        never newer, so the first sight counts from the reply.
+        A read can be older than the arrival of its reply, never newer, so
+        the duration counts from the reply that first showed this version.
         """
         now = self._clock()
-        if self._sight is None or self._sight.version != found.version:
-            self._sight = _Sight(version=found.version, at=now)
+        if self._observed is None or self._observed.version != found.version:
+            self._observed = _Observation(version=found.version, at=now)
             return False
-        return now - self._sight.at >= max(self._seconds, record.seconds)
+        return now - self._observed.at >= max(self._seconds, record.seconds)
 
-    def _least_fence(self) -> int:
-        """Return a number that all fences of before the last restore reach."""
+    def _last_fence_before_restore(self) -> int:
+        """Return the highest number possible before the last restore."""
         return self._store.era() * FENCES_PER_ERA
 
     async def _take(self, expected: int) -> Held | NotHeld:
-        fence = max(self._highest, self._least_fence()) + 1
+        fence = max(self._highest_fence, self._last_fence_before_restore()) + 1
         taken = await self._write(expected, fence)
         if isinstance(taken, Held):
             await steps.reach(steps.Step.LEASE_TAKEN, self._holder)
         return taken
 
     async def _write(self, expected: int, fence: int) -> Held | NotHeld:
-        attempt = _Attempt(
+        own_write = _Write(
             nonce=secrets.token_hex(8),
             fence=fence,
             started=self._clock(),
             era=self._store.era(),
         )
-        self._attempts.append(attempt)
+        self._own_writes.append(own_write)
         value = self._encode(
-            holder=self._holder, fence=fence, nonce=attempt.nonce
+            holder=self._holder, fence=fence, nonce=own_write.nonce
         )
         written = await self._store.write(
             key=self._key, value=value, expected=expected
         )
         match written:
             case store_module.Written(version=version):
-                self._grasp(version, attempt)
+                self._note_own_write(version, own_write)
                 await steps.reach(steps.Step.LEASE_RENEWED, self._holder)
-                return self._tell()
+                return self._make_result()
             case store_module.Unavailable(detail=detail):
-                return self._tell(detail)
+                return self._make_result(detail)
             case store_module.Uncertain(detail=detail):
                 return await self._read_back(detail, lost=False)
             case store_module.Conflict():
-                return await self._read_back('it has changed', lost=True)
+                return await self._read_back(
+                    'the lease record has changed', lost=True
+                )
 
     async def _read_back(self, detail: str, *, lost: bool) -> Held | NotHeld:
         """Find out whether a write of ours took effect.
 
         The reply to a write can be lost after the write took effect, and a
-        write given up can take effect late.  Then the object is ours, and
-        taking its change for another's would leave the lease with nobody.
+        write that failed for us can take effect late.  Then the object is
+        ours; if we took the change for another holder's, the lease would be
+        left without a holder until it lapses.
 
-        :param lost: what we last knew of the object is no longer so; unless
-            the change was our own, the lease is gone.
+        :param lost: the object has changed since we last knew it, so the
+            lease is lost unless the change was our own.
         """
         found = await self._store.read(key=self._key)
         if not isinstance(found, store_module.Stored):
             if lost:
-                self._grip = None
-            return self._tell(detail)
+                self._owned = None
+            return self._make_result(detail)
         record = _decode(found.value)
-        if record is not None and self._recognise(found, record):
-            return self._tell()
-        stale = self._grip is not None and found.version <= self._grip.version
+        if record is not None and self._adopt_own_write(found, record):
+            return self._make_result()
+        stale = (
+            self._owned is not None and found.version <= self._owned.version
+        )
         if lost or not stale:
-            self._grip = None
-        return self._tell(detail, record.holder if record else '')
+            self._owned = None
+        return self._make_result(detail, record.holder if record else '')
 
-    def _recognise(self, found: store_module.Stored, record: Record) -> bool:
-        """Take hold if the record is a write of ours, and still stands.
+    def _adopt_own_write(
+        self, found: store_module.Stored, record: Record
+    ) -> bool:
+        """Note that we hold the lease if the record is a write of ours.
 
-        One of before a restore stands for what others may have replaced.
+        A write from before a restore does not count: other holders may have
+        replaced it before the restore brought it back.
         """
-        for attempt in self._attempts:
-            if attempt.era != self._store.era():
+        for own_write in self._own_writes:
+            if own_write.era != self._store.era():
                 continue
-            if attempt.nonce == record.nonce:
-                self._grasp(found.version, attempt)
+            if own_write.nonce == record.nonce:
+                self._note_own_write(found.version, own_write)
                 return True
         return False
 
-    def _grasp(self, version: int, attempt: _Attempt) -> None:
+    def _note_own_write(self, version: int, own_write: _Write) -> None:
         """Note a write of ours that took effect, unless a later one did."""
-        if self._grip is not None and self._grip.version >= version:
+        if self._owned is not None and self._owned.version >= version:
             return
-        self._highest = max(self._highest, attempt.fence)
-        self._grip = _Grip(version=version, fence=attempt.fence)
-        self._lasts = attempt.started + self._seconds - self._margin
+        self._highest_fence = max(self._highest_fence, own_write.fence)
+        self._owned = _Ownership(version=version, fence=own_write.fence)
+        self._expires_at = own_write.started + self._seconds - self._margin
 
-    def _tell(self, detail: str = '', holder: str = '') -> Held | NotHeld:
-        if self._grip is not None and self.held():
-            return Held(fence=self._grip.fence)
-        return NotHeld(holder=holder, detail=detail or 'it has lapsed')
+    def _make_result(
+        self, detail: str = '', holder: str = ''
+    ) -> Held | NotHeld:
+        if self._owned is not None and self.held():
+            return Held(fence=self._owned.fence)
+        return NotHeld(holder=holder, detail=detail or 'the lease has lapsed')
 
     def _encode(self, *, holder: str, fence: int, nonce: str) -> bytes:
         record = Record(
@@ -360,7 +375,7 @@
 
 
 class LeaseWrapper:
-    """Passes everything on to a lease; for those that change a part of it."""
+    """Passes every call on to a lease; a base for partial overrides."""
 
     __slots__ = ('_lease',)
 
@@ -372,13 +387,13 @@
         return await self._lease.acquire()
 
     async def renew(self) -> Held | NotHeld:
-        """Prolong the lease."""
+        """Renew the lease."""
         return await self._lease.renew()
 
     async def release(self) -> None:
-        """Give the lease up."""
+        """Release the lease."""
         await self._lease.release()
 
     def held(self) -> bool:
-        """Say whether it is held, by this process's own clock."""
+        """Return whether it is held, by this process's own clock."""
         return self._lease.held()
--- a/marigoldramp/map_reconciliation.py
+++ b/marigoldramp/map_reconciliation.py
@@ -33,7 +33,7 @@
     def __call__(
         self, *, states: Sequence[map_orders.RankState], ranks: int
     ) -> Decision:
-        """Return what the leader has to do next."""
+        """Return what has to be done next."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
@@ -44,8 +44,8 @@
     :ivar retry_seconds: between two attempts at something that failed.
     :ivar contend_seconds: between two attempts to take a lease that another
         process holds; each costs a call to the platform's store.
-    :ivar lead_steps: how many steps ahead of the group a rank is held.  Too
-        few make the group wait for the change; too many only delay it.
+    :ivar lead_steps: how far ahead of the group the hold is placed.  Too
+        few and the group waits for the change; too many delay it only.
     """
 
     poll_seconds: float = 1.0
@@ -57,7 +57,7 @@
 class Reconciler:
     """Runs the reconciliation loop of one leader.
 
-    :param shape: dimensions of the map that is given to a group without one.
+    :param shape: dimensions of the map that a group without one is given.
     :param decide: :func:`.map_decisions.decide` where ranks refuse orders of
         older leaders, :func:`.map_decisions_unfenced.decide` where they do
         not.
@@ -178,10 +178,10 @@
     ) -> Failure | None:
         """Arm a map on the ranks that have not armed it yet.
 
-        A rank refuses when a later ``Prepare`` has replaced the map by one
-        that it is still copying, which its report does not show.  The group
-        would then wait forever, so the rank is given a version that its
-        report does show.
+        A rank refuses if it has been told to prepare a newer map, which it
+        copies still and which its report does not show.  The group would
+        wait forever, so the rank is given a version that its report does
+        show.
         """
         order = map_orders.Arm(
             version=decision.version, from_step=decision.from_step
@@ -222,11 +222,11 @@
         self, client: map_client.GroupClient
     ) -> Failure | None:
         version = client.new_version()
-        initial = expert_maps.spread(shape=self._shape, version=version)
+        first = expert_maps.spread(shape=self._shape, version=version)
         schedule = expert_maps.Schedule(in_force=version)
         while True:
             failure = await client.send_all(
-                map_orders.Prepare(expert_map=initial)
+                map_orders.Prepare(expert_map=first)
             )
             if failure is not None:
                 return failure
@@ -246,14 +246,14 @@
         states: Sequence[map_orders.RankState],
     ) -> Failure | None:
         """Load maps on ranks that have none, then have them adopt those."""
-        loading = False
+        waiting = False
         for state in states:
             agent = client.find_agent(state.rank)
             if agent is None:
                 return Failure.UNREACHED
             lacking = set(schedule.versions()) - set(state.loaded)
             for version in sorted(lacking):
-                loading = True
+                waiting = True
                 failure = await self._load(client, agent, state.rank, version)
                 if failure is not None:
                     return failure
@@ -265,7 +265,7 @@
             )
             if isinstance(answer, Failure):
                 return answer
-        if loading:
+        if waiting:
             await self._sleep(self._timing.retry_seconds)
         return None
 
--- a/marigoldramp/rank_engines.py
+++ b/marigoldramp/rank_engines.py
@@ -1,8 +1,8 @@
-"""Reaches the engine of one rank over HTTP.
+"""Client of the engine of one rank, over HTTP.
 
-Each order is a ``POST`` of a JSON object to ``/ranks/RANK/VERB``; the answer
-is the rank's state, or a reason with status 409.  ``GET /ranks/RANK`` asks
-for the state alone.
+Each order is a ``POST`` of a JSON object to ``/ranks/RANK/VERB``; the response
+is the rank's state, or a reason with status 409.  ``GET /ranks/RANK`` returns
+the state alone.
 """
 
 from typing import TypeVar
@@ -58,7 +58,7 @@
 
 
 class RefusedBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer of an engine that did not obey."""
+    """Response of an engine that refused an order."""
 
     reason: map_orders.Refusal
 
@@ -66,11 +66,10 @@
 class HttpRankEngine(map_ranks.RankEngine):
     """The engine of one rank.
 
-    An order is never given up once it was sent.  A reply that is awaited
-    only for a time would leave open whether the order takes effect later,
-    after a newer leader has been answered from a state that is no longer
-    true.  An engine that is frozen therefore holds its agent's orders; one
-    that has died closes the connection, and loses what it was told.
+    There is no timeout for the response to an order.  With one, the order
+    could take effect later, after a newer leader was answered with a state
+    that it changes.  A frozen engine therefore blocks its agent's orders; one
+    that has died closes the connection and forgets all orders.
     """
 
     def __init__(self, *, host: str, port: int, rank: int) -> None:
@@ -79,7 +78,7 @@
         self._path = f'/ranks/{rank}'
 
     async def state(self) -> map_ranks.EngineAnswer:
-        """Report the state."""
+        """Return the state of the rank."""
         return await self._ask('GET', self._path, b'')
 
     async def fetch_map(
@@ -91,7 +90,7 @@
         return _decode(reply, expert_maps.ExpertMap)
 
     async def fetch_report(self) -> popularity.Report | None:
-        """Return what the rank has counted since it was last asked."""
+        """Return the counts since the last call."""
         path = f'{self._path}/report'
         reply = await self._exchange('GET', path, b'')
         return _decode(reply, popularity.Report)
@@ -99,7 +98,7 @@
     async def prepare(
         self, *, fence: int, expert_map: expert_maps.ExpertMap
     ) -> map_ranks.EngineAnswer:
-        """Begin to load the weights that a map needs."""
+        """Start loading the weights that a map needs."""
         body = PrepareBody(fence=fence, expert_map=expert_map)
         return await self._order('prepare', body)
 
@@ -118,17 +117,17 @@
         return await self._order('arm', body)
 
     async def release(self, *, fence: int) -> map_ranks.EngineAnswer:
-        """Stop holding."""
+        """Let the rank go on."""
         return await self._order('release', FenceBody(fence=fence))
 
     async def undo(self, *, fence: int) -> map_ranks.EngineAnswer:
-        """Forget an armed map and the weights that nothing needs."""
+        """Disarm a map; drop weights that the one in force does not need."""
         return await self._order('undo', FenceBody(fence=fence))
 
     async def adopt(
         self, *, fence: int, schedule: expert_maps.Schedule
     ) -> map_ranks.EngineAnswer:
-        """Take on a schedule."""
+        """Adopt a schedule."""
         body = AdoptBody(fence=fence, schedule=schedule)
         return await self._order('adopt', body)
 
@@ -154,7 +153,7 @@
     async def _exchange(
         self, method: str, path: str, body: bytes
     ) -> '_Reply | None':
-        """Return the engine's reply, ``None`` if the connection broke."""
+        """Return the engine's response, ``None`` if the connection broke."""
         opened = await connections.connect(
             host=self._host, port=self._port, seconds=CONNECT_SECONDS
         )
--- a/marigoldramp/rank_groups.py
+++ b/marigoldramp/rank_groups.py
@@ -1,8 +1,8 @@
-"""An agent's part in a rank group: its own ranks, and leading its turn.
+"""An agent's part in a rank group: serving its ranks and leading the group.
 
-Leading a group falls to the agents that carry it.  Two of them contend for
-the lease, chosen by rendezvous hashing over the instance list; more would
-cost calls of the platform's store and bring nothing.
+A group is led by one of the agents that run its ranks.  Two of them, chosen by
+rendezvous hashing over the instance list, contend for the lease; more would
+only add calls to the platform's store.
 """
 
 import math
@@ -26,20 +26,20 @@
 from . import rendezvous
 from . import store as store_module
 
-CONTENDERS = 2
+MAX_CONTENDERS = 2
 LEASE_SECONDS = 10.0
 RENEW_SECONDS = 3.0
-#: Pause of a contender that was not given the lease.
+#: Time between two attempts of a contender to take the lease.
 CONTEND_SECONDS = 5.0
 ORDER_SECONDS = 2.0
-#: Longest wait at a planned stop for the group to be settled.
+#: Longest wait at a planned stop for the group to be reconciled.
 RESIGN_SECONDS = 10.0
-MOST_POLL_SECONDS = 5.0
-LOOKS_AN_INTERVAL = 4
+MAX_POLL_SECONDS = 5.0
+INSPECTIONS_PER_INTERVAL = 4
 
 
 class PeerTransport:
-    """Carries orders to the agents of a group over gRPC.
+    """Delivers orders to the agents of a group over gRPC.
 
     :param find: returns an agent's row of the instance list.
     """
@@ -58,7 +58,7 @@
     async def order(
         self, *, rank_agent: str, order: map_orders.Order
     ) -> map_orders.Reply | map_orders.Lost:
-        """Deliver an order and return the reply, or that it is lost."""
+        """Deliver an order; return the reply, or ``Lost`` if none came."""
         row = self._find(rank_agent)
         if row is None:
             return map_orders.Lost(detail='the agent is not listed')
@@ -80,7 +80,7 @@
 
 
 def decode_reply(reply: peers.MapReply) -> map_orders.Reply | map_orders.Lost:
-    """Return an agent's reply, or that it cannot be read."""
+    """Return an agent's reply, or ``Lost`` if it cannot be decoded."""
     try:
         return msgspec.msgpack.decode(reply.state, type=map_orders.Reply)
     except msgspec.MsgspecError as error:
@@ -88,9 +88,9 @@
 
 
 class ContendedLease(leases.LeaseWrapper):
-    """A lease for which only the group's first agents contend.
+    """A lease for which only some agents of the group contend.
 
-    The others answer "not held" without a call of the store.
+    The others return ``NotHeld`` without a call to the store.
     """
 
     __slots__ = ('_may_contend',)
@@ -102,14 +102,14 @@
         self._may_contend = may_contend
 
     async def acquire(self) -> leases.Held | leases.NotHeld:
-        """Take the lease if it is this agent's turn."""
+        """Take the lease if this agent is one of the contenders."""
         if not self._may_contend():
             return leases.NotHeld(detail='other agents come first')
         return await self._lease.acquire()
 
 
 class RankGroup:
-    """One agent's ranks and its turn at leading their group.
+    """Serves one agent's ranks and leads their group when it may.
 
     :param name: the group's name.
     :param list_instances: returns the instance list as it was last read.
@@ -139,7 +139,7 @@
         self._list_instances = list_instances
         self._clock = clock
         self._timing = timing
-        self._reported = 0
+        self._report_count = 0
         self._key = store_module.Key(kind=leases.KIND, name=f'group-{name}')
         self._transport = PeerTransport(client=client, find=self._find)
         self.leader: map_leader.Leader | None = None
@@ -154,7 +154,7 @@
     async def lead(
         self, *, group: bundle.Group, map_planner: map_leader.Planner
     ) -> None:
-        """Lead the group whenever the lease is this agent's."""
+        """Contend for the group's lease; lead the group while holding it."""
         self.leader = map_leader.Leader(
             group=self._name,
             instance=self._instance,
@@ -175,7 +175,7 @@
         await self.leader.run()
 
     async def resign(self) -> None:
-        """Stop to lead, with the group settled if it can be in time."""
+        """Stop leading; wait a limited time for the group to be reconciled."""
         if self.leader is not None:
             with anyio.move_on_after(RESIGN_SECONDS):
                 await self.leader.resign()
@@ -191,7 +191,7 @@
         return ContendedLease(lease=lease, may_contend=self._may_contend)
 
     async def handle(self, order: peers.MapOrder) -> peers.MapReply:
-        """Obey or refuse an order that came from an authenticated peer."""
+        """Obey or refuse an order of an authenticated peer."""
         try:
             decoded = msgspec.msgpack.decode(
                 order.order, type=map_orders.Order
@@ -211,14 +211,14 @@
         )
 
     async def _count(self) -> map_orders.Reply:
-        """Return what the ranks beside this agent have counted."""
+        """Return the merged counts of this agent's ranks."""
         fetched = [await one.fetch_report() for one in self._engines.values()]
         reports = [one for one in fetched if one is not None]
-        self._reported += 1
+        self._report_count += 1
         merged = popularity.merge(
             reports=reports,
             series=self._incarnation,
-            sequence=self._reported,
+            sequence=self._report_count,
         )
         return map_orders.Reply(
             refusal=map_orders.Refusal.NONE,
@@ -228,9 +228,9 @@
         )
 
     async def collect(self) -> tuple[planner.AgentReports, ...]:
-        """Ask every agent of the group what its ranks have counted.
+        """Return the counts of the ranks of all agents of the group.
 
-        An agent that does not answer is left out; the estimate goes on
+        An agent that does not answer is left out; the estimate continues
         without it.
         """
         collected: list[planner.AgentReports] = []
@@ -256,7 +256,7 @@
         return tuple(sorted(collected, key=lambda one: one.agent))
 
     def agents(self) -> Sequence[str]:
-        """Return the names of the agents that carry the group."""
+        """Return the names of the agents that run the group's ranks."""
         return [
             row.name
             for row in self._list_instances()
@@ -276,7 +276,7 @@
             if row.group == self._name and not row.leaving
         ]
         return self._instance in rendezvous.choose(
-            key=self._key.name, names=staying, count=CONTENDERS
+            key=self._key.name, names=staying, count=MAX_CONTENDERS
         )
 
     async def _learn_fence(self) -> int | None:
@@ -293,11 +293,14 @@
 
 
 def _choose_timing(group: bundle.Group) -> map_leader.Timing:
-    """Return how often the leader looks at its group.
+    """Return how often the leader inspects its group.
 
-    Each look asks every agent; four in an interval keep the plan in time.
+    Each inspection asks every agent; four in a planning interval are enough
+    to plan in time.
     """
-    poll = min(MOST_POLL_SECONDS, group.interval_seconds / LOOKS_AN_INTERVAL)
+    poll = min(
+        MAX_POLL_SECONDS, group.interval_seconds / INSPECTIONS_PER_INTERVAL
+    )
     return map_leader.Timing(
         poll_seconds=poll, contend_seconds=CONTEND_SECONDS
     )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -80,7 +80,7 @@
     assert run(other.acquire()) == leases.Held(fence=2)
     assert not one.held()
     assert run(one.renew()) == leases.NotHeld(
-        holder='other', detail='it has changed'
+        holder='other', detail='the lease record has changed'
     )
 
 
