--- a/tests/map_model.py
+++ b/tests/map_model.py
@@ -1,13 +1,14 @@
-"""A model of leaders and ranks that is explored in every order of events.
+"""Model checker for the protocol that changes the expert map of a group.
 
-Ranks, the network and the order in which a leader does things are modelled;
-what a leader decides comes from the product's own functions.  An order is
+Ranks, the network and the sequence of a leader's actions are modelled; the
+decisions of a leader come from the product's own functions.  An order is
 carried out and answered, or carried out without an answer, or left without an
 answer and carried out at any later moment.  A leader that is frozen or killed
-is one that is not chosen to go on.
+is modelled as one that is not scheduled any more.
 
-Small systems are explored whole.  Larger ones, with reports that lag, groups
-that form anew and entries of ranks that lapse, are walked through at random.
+Small systems are explored exhaustively.  Larger ones, with lagging reports,
+groups that restart and ranks whose listing lapses, are explored by random
+walks.
 """
 
 import dataclasses
@@ -20,17 +21,21 @@
 from marigoldramp import map_decisions_unfenced
 from marigoldramp import map_orders
 
-#: Versions are numbered by ten for each fence.
-A_FENCE = 10
+#: Versions are integers: the fence times ten, plus the number of the map.
+VERSIONS_PER_FENCE = 10
 
 
 class Rank(NamedTuple):
-    """One rank.
+    """The state of one rank.
 
+    :ivar version: the map in force.
+    :ivar highest: the highest version that it was told to prepare.
+    :ivar prepared: the map that it copies or has copied, 0 for none.
     :ivar ready: the prepared map is copied.
-    :ivar armed: version and step.
+    :ivar armed: version and step of the armed map.
+    :ivar held: the step that it does not enter, 0 for none.
     :ivar fence: the highest that it has obeyed, where it checks fences.
-    :ivar epoch: grows whenever the group forms anew.
+    :ivar epoch: grows whenever the group restarts.
     """
 
     version: int = 0
@@ -44,15 +49,15 @@
 
 
 class Order(NamedTuple):
-    """One order; ``step`` and ``version`` where it has them."""
+    """One order; ``step`` and ``version`` are 0 where it has none."""
 
     kind: str
     version: int = 0
     step: int = 0
 
 
-class Late(NamedTuple):
-    """An order without an answer that may yet be carried out."""
+class DelayedOrder(NamedTuple):
+    """An unanswered order that may still be carried out."""
 
     leader: int
     rank: int
@@ -61,81 +66,90 @@
 
 
 class Leader(NamedTuple):
-    """What a leader is about.
-
-    :ivar view: state of each rank as it was seen, ``None`` before.
-    :ivar todo: orders to give, each with its rank, in any order.
-    :ivar then: what follows when all are answered.
-    :ivar names: maps that it has named.
-    :ivar inspected: it has taken all ranks over, where they check fences.
-    :ivar dropped: for each rank the last prepared map that it gave up.
+    """The state of one leader.
+
+    :ivar view: the state of each rank as it was inspected, ``None`` before.
+    :ivar pending_orders: orders to send, each with its rank, in any order.
+    :ivar phase: what follows when all of them are answered.
+    :ivar named_maps: how many maps it has named.
+    :ivar changes: how many changes it has started.
+    :ivar inspected: all ranks have adopted its fence, where they check them.
+    :ivar dropped: for each rank the last prepared map that it has undone.
+    :ivar ended: it has been deposed or has run out of versions.
     :ivar released: for each rank the last step whose hold it ended.
-    :ivar epochs: of each rank, as it was last seen.
-    :ivar since: for each rank, how many of its past states our last look or
-        order has outdated; used where reports lag.
+    :ivar epochs: the epoch of each rank at its last inspection.
+    :ivar seen_from: for each rank, how many of its past states the last
+        inspection or order has outdated; used where reports lag.
     """
 
     view: tuple[Rank | None, ...]
-    todo: tuple[tuple[int, Order], ...] = ()
-    then: tuple[str, ...] = ('look',)
-    names: int = 0
+    pending_orders: tuple[tuple[int, Order], ...] = ()
+    phase: tuple[str, ...] = ('look',)
+    named_maps: int = 0
     changes: int = 0
     inspected: bool = False
     dropped: tuple[int, ...] = ()
     ended: bool = False
     released: tuple[int, ...] = ()
     epochs: tuple[int, ...] = ()
-    since: tuple[int, ...] = ()
+    seen_from: tuple[int, ...] = ()
 
 
 class State(NamedTuple):
-    """The whole system.
+    """The state of the whole system.
 
+    :ivar step: the last step that the group has entered.
+    :ivar late: unanswered orders that may still be carried out.
     :ivar losses: how many more orders may be left without an answer.
-    :ivar unlisted: ranks whose entries have lapsed.
-    :ivar lapses: how many more entries may lapse.
-    :ivar forms: how many more times the group may form anew.
-    :ivar past: the states that each rank had, with the present one; kept
-        where reports lag.
+    :ivar unlisted: ranks whose listing has lapsed.
+    :ivar lapses: how many more listings may lapse.
+    :ivar reforms: how many more times the group may restart.
+    :ivar past: all states that each rank has had, the present one last;
+        kept where reports lag.
     """
 
     step: int
     ranks: tuple[Rank, ...]
     leaders: tuple[Leader, ...]
-    late: frozenset[Late]
+    late: frozenset[DelayedOrder]
     losses: int
     unlisted: frozenset[int] = frozenset()
     lapses: int = 0
-    forms: int = 0
+    reforms: int = 0
     past: tuple[tuple[Rank, ...], ...] = ()
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Rules:
-    """What is explored, and which of the guards are left out.
+    """The transition rules and limits of a model.
 
     :ivar fenced: ranks check fences.
-    :ivar timed: a rank is held after the time of the loads, whether all have
-        loaded or not.
-    :ivar lapses: how often the entry of a rank may lapse.
-    :ivar forms: how often the group may form anew.
-    :ivar one_rank: leaders hold one rank, and every other step of it each.
-    :ivar lags: a report shows any state since the leader's last order.
-    :ivar without: the guard that is left out, see the tests.
+    :ivar changes: how many changes each leader starts.
+    :ivar max_step: the last step that the group enters.
+    :ivar losses: how many orders may be left without an answer.
+    :ivar timed: a rank is held once the time of the loads has passed, even if
+        some ranks are still loading.
+    :ivar lapses: how often the listing of a rank may lapse.
+    :ivar reforms: how often the group may restart.
+    :ivar hold_one_rank: all leaders hold the same rank, and alternate between
+        odd and even steps.
+    :ivar reports_lag: a report shows any state since the leader's last order.
+    :ivar disabled_guard: the protection that is left out; the ids of the
+        tests say which failure that allows.
     """
 
     fenced: bool
     ranks: int = 2
     leaders: int = 2
     changes: int = 1
-    most_step: int = 4
+    max_step: int = 4
     losses: int = 1
     timed: bool = False
     lapses: int = 0
-    forms: int = 0
-    lags: bool = False
-    one_rank: bool = False
-    without: str = ''
+    reforms: int = 0
+    reports_lag: bool = False
+    hold_one_rank: bool = False
+    disabled_guard: str = ''
 
     def start(self) -> State:
         none = (0,) * self.ranks
@@ -144,12 +158,12 @@
             dropped=none,
             released=none,
             epochs=none,
-            since=none,
+            seen_from=none,
         )
         return State(
             lapses=self.lapses,
-            forms=self.forms,
-            past=((Rank(),),) * self.ranks if self.lags else (),
+            reforms=self.reforms,
+            past=((Rank(),),) * self.ranks if self.reports_lag else (),
             step=0,
             ranks=(Rank(),) * self.ranks,
             leaders=(leader,) * self.leaders,
@@ -160,14 +174,14 @@
     def fence(self, leader):
         """Return the fence of a leader.
 
-        A store that has gone back to a copy gives the same one out again.
+        Without the guard ``eras`` a restored store gives one out again.
         """
-        return 1 if self.without == 'eras' else leader + 1
+        return 1 if self.disabled_guard == 'eras' else leader + 1
 
     # Ranks
 
     def obey(self, state, leader, number, order, epoch):
-        """Return the rank after an order, ``None`` if it is refused."""
+        """Return the rank after an order, ``None`` if it refuses."""
         rank = state.ranks[number]
         if self.fenced and rank.fence > self.fence(leader):
             return None
@@ -184,9 +198,9 @@
             case 'prepare' | 'seal':
                 if rank.highest == version:
                     return rank
-                if rank.highest > version and self.without != 'older':
+                if rank.highest > version and self.disabled_guard != 'older':
                     return None
-                if rank.armed and self.without != 'unarmed':
+                if rank.armed and self.disabled_guard != 'unarmed':
                     return None
                 return rank._replace(
                     highest=version,
@@ -219,8 +233,8 @@
                 return rank
         return rank
 
-    def begin_pass(self, state):
-        """Return the state after the next pass began, ``None`` if held."""
+    def begin_step(self, state):
+        """Return the state after the next step, ``None`` if it is held."""
         step = state.step + 1
         if any(rank.held == step for rank in state.ranks):
             return None
@@ -234,12 +248,12 @@
             )
             for rank in state.ranks
         )
-        return self._note(state._replace(step=step, ranks=ranks))
+        return self._record_past(state._replace(step=step, ranks=ranks))
 
-    def form_anew(self, state, crashed):
-        """Return the state after the group has formed anew.
+    def reform_group(self, state, crashed):
+        """Return the state after the group has restarted.
 
-        The rank that crashed has forgotten which versions it had.
+        The rank that crashed has forgotten its versions and its fence.
         """
         ranks = tuple(
             Rank(
@@ -249,11 +263,13 @@
             )
             for number, rank in enumerate(state.ranks)
         )
-        return self._note(state._replace(ranks=ranks, forms=state.forms - 1))
+        return self._record_past(
+            state._replace(ranks=ranks, reforms=state.reforms - 1)
+        )
 
-    def _note(self, state):
-        """Add the present states of the ranks to their past ones."""
-        if not self.lags:
+    def _record_past(self, state):
+        """Append the present states of the ranks to their past ones."""
+        if not self.reports_lag:
             return state
         past = tuple(
             rows if rows[-1] == rank else (*rows, rank)
@@ -261,25 +277,25 @@
         )
         return state._replace(past=past)
 
-    # Everything that can happen next
+    # Transitions
 
-    def follow(self, state):
-        """Yield the states that can follow."""
-        yield from self.happen(state)
+    def successors(self, state):
+        """Yield every state that can follow."""
+        yield from self.environment_successors(state)
         for number in range(self.leaders):
-            yield from self.go_on(state, number)
+            yield from self.leader_successors(state, number)
 
-    def happen(self, state):
-        """Yield the states that follow without a leader's doing."""
-        if state.step < self.most_step:
-            found = self.begin_pass(state)
+    def environment_successors(self, state):
+        """Yield the states that follow without an action of a leader."""
+        if state.step < self.max_step:
+            found = self.begin_step(state)
             if found is not None:
                 yield found
         for number, rank in enumerate(state.ranks):
             if rank.prepared and not rank.ready:
                 ready = rank._replace(ready=True)
-                yield self._note(_put(state, number, ready))
-        yield from self._list_anew(state)
+                yield self._record_past(_replace_rank(state, number, ready))
+        yield from self._relist(state)
         for late in state.late:
             rest = state._replace(late=state.late - {late})
             found = self.obey(
@@ -288,17 +304,17 @@
             yield (
                 rest
                 if found is None
-                else self._put_obeyed(rest, late.leader, late.rank, found)
+                else self._apply_order(rest, late.leader, late.rank, found)
             )
 
-    def go_on(self, state, number):
-        """Yield the states that follow when a leader goes on."""
+    def leader_successors(self, state, number):
+        """Yield the states that follow the next action of a leader."""
         leader = state.leaders[number]
         if not leader.ended:
-            yield from self._go_on(state, number, leader)
+            yield from self._leader_successors(state, number, leader)
 
-    def _list_anew(self, state):
-        """Yield the states after an entry has lapsed or come back."""
+    def _relist(self, state):
+        """Yield the states after a listing changed or the group restarted."""
         for number in range(self.ranks):
             if number in state.unlisted:
                 unlisted = state.unlisted - {number}
@@ -308,38 +324,42 @@
                     unlisted=state.unlisted | {number},
                     lapses=state.lapses - 1,
                 )
-            if state.forms:
-                yield self.form_anew(state, number)
+            if state.reforms:
+                yield self.reform_group(state, number)
+
+    def _apply_order(self, state, leader, number, rank):
+        """Replace a rank that obeyed an order.
 
-    def _put_obeyed(self, state, leader, number, rank):
-        """Put a rank; where fences count, older copies are dead now."""
-        state = self._note(_put(state, number, rank))
-        if not self.fenced or self.without == 'tokens':
+        Where ranks check fences, older copies of orders are now ineffective.
+        """
+        state = self._record_past(_replace_rank(state, number, rank))
+        if not self.fenced or self.disabled_guard == 'tokens':
             return state
         late = frozenset(
             one
             for one in state.late
-            if one.rank != number or self._outlives(one.leader, leader)
+            if one.rank != number or self._outranks(one.leader, leader)
         )
         return state._replace(late=late)
 
-    def _outlives(self, late, leader):
-        """Whether a leader's order that is late has a higher token.
+    def _outranks(self, late, leader):
+        """Return whether a late order may have a higher token.
 
-        Leaders of one fence number their orders alike, so that any may have.
+        Leaders with the same fence number their orders independently, so a
+        late order of either may have the higher number.
         """
         if late == leader:
             return False
         return self.fence(late) >= self.fence(leader)
 
-    def _go_on(self, state, number, leader):
-        if leader.todo:
-            for place, (rank, order) in enumerate(leader.todo):
+    def _leader_successors(self, state, number, leader):
+        if leader.pending_orders:
+            for place, (rank, order) in enumerate(leader.pending_orders):
                 yield from self._send(state, number, leader, place)
             return
-        if leader.then[0] == 'look' and not self._is_seen(leader):
+        if leader.phase[0] == 'look' and not self._is_inspected(leader):
             if self.fenced and not leader.inspected:
-                yield self._order(
+                yield self._start_orders(
                     state,
                     number,
                     leader._replace(inspected=True),
@@ -351,145 +371,161 @@
                 return
             for rank, seen in enumerate(leader.view):
                 if seen is None:
-                    yield from self._view(state, number, leader, rank)
+                    yield from self._inspect_rank(state, number, leader, rank)
             return
         yield self._act(state, number, leader)
 
-    def _view(self, state, number, leader, rank):
-        """Yield what follows when a leader looks at one rank."""
+    def _inspect_rank(self, state, number, leader, rank):
+        """Yield the states after a leader has inspected one rank."""
         past = (state.ranks[rank],)
-        if self.lags:
-            past = state.past[rank][leader.since[rank] :]
+        if self.reports_lag:
+            past = state.past[rank][leader.seen_from[rank] :]
         for place, seen in enumerate(reversed(past)):
             if seen.epoch != leader.epochs[rank]:
-                epochs = _set(leader.epochs, rank, seen.epoch)
-                released = _set(leader.released, rank, 0)
-                # A rank that has started anew knows no fence.
+                epochs = _replace_at(leader.epochs, rank, seen.epoch)
+                released = _replace_at(leader.released, rank, 0)
+                # A restarted rank knows no fence.
                 known = leader._replace(
                     epochs=epochs, released=released, inspected=False
                 )
-                yield self._look(state, number, known)
+                yield self._restart_inspection(state, number, known)
                 continue
-            since = leader.since
-            if self.lags:
-                # What a report has shown, no later one takes back.
+            seen_from = leader.seen_from
+            if self.reports_lag:
+                # Later reports show no state before this one.
                 shown = len(state.past[rank]) - 1 - place
-                since = _set(since, rank, max(since[rank], shown))
-            view = _set(leader.view, rank, seen)
-            yield _lead(state, number, leader._replace(view=view, since=since))
+                seen_from = _replace_at(
+                    seen_from, rank, max(seen_from[rank], shown)
+                )
+            view = _replace_at(leader.view, rank, seen)
+            yield _replace_leader(
+                state, number, leader._replace(view=view, seen_from=seen_from)
+            )
 
     def _note_release(self, leader, rank, order):
-        """Return a leader that sends an order, which may end a hold."""
+        """Return a leader after sending an order that may end a hold."""
         if self.fenced or order.kind != 'release':
             return leader
         step = max(leader.released[rank], order.step)
-        return leader._replace(released=_set(leader.released, rank, step))
+        return leader._replace(
+            released=_replace_at(leader.released, rank, step)
+        )
 
-    def _outdate(self, state, leader, rank):
-        """Return a leader whose order to a rank has been answered."""
-        if not self.lags:
+    def _mark_outdated(self, state, leader, rank):
+        """Return a leader after a rank has answered its order."""
+        if not self.reports_lag:
             return leader
         present = len(state.past[rank]) - 1
-        return leader._replace(since=_set(leader.since, rank, present))
+        return leader._replace(
+            seen_from=_replace_at(leader.seen_from, rank, present)
+        )
 
-    def _is_seen(self, leader):
+    def _is_inspected(self, leader):
         return all(one is not None for one in leader.view)
 
     def _send(self, state, number, leader, place):
-        rank, order = leader.todo[place]
-        rest = leader.todo[:place] + leader.todo[place + 1 :]
+        rank, order = leader.pending_orders[place]
+        rest = (
+            leader.pending_orders[:place] + leader.pending_orders[place + 1 :]
+        )
         leader = self._note_release(leader, rank, order)
-        state = _lead(state, number, leader)
+        state = _replace_leader(state, number, leader)
         epoch = leader.epochs[rank]
         found = self.obey(state, number, rank, order, epoch)
         if found is None:
-            leader = self._outdate(state, leader, rank)
-            yield self._refused(state, number, leader, rank, order)
+            leader = self._mark_outdated(state, leader, rank)
+            yield self._handle_refusal(state, number, leader, rank, order)
         else:
-            done = self._put_obeyed(state, number, rank, found)
-            leader = self._outdate(done, leader, rank)
-            yield _lead(done, number, leader._replace(todo=rest))
+            done = self._apply_order(state, number, rank, found)
+            leader = self._mark_outdated(done, leader, rank)
+            yield _replace_leader(
+                done, number, leader._replace(pending_orders=rest)
+            )
         if not state.losses:
             return
         lost = state._replace(losses=state.losses - 1)
         if found is not None:
-            yield self._put_obeyed(lost, number, rank, found)
-        copy = Late(leader=number, rank=rank, order=order, epoch=epoch)
+            yield self._apply_order(lost, number, rank, found)
+        copy = DelayedOrder(leader=number, rank=rank, order=order, epoch=epoch)
         yield lost._replace(late=state.late | {copy})
 
-    def _refused(self, state, number, leader, rank, order):
+    def _handle_refusal(self, state, number, leader, rank, order):
         if self.fenced and state.ranks[rank].fence > self.fence(number):
-            return _lead(state, number, leader._replace(ended=True, todo=()))
+            return _replace_leader(
+                state, number, leader._replace(ended=True, pending_orders=())
+            )
         if order.kind == 'none':
             leader = leader._replace(inspected=False)
-        if leader.then == ('complete',) and order.kind == 'arm':
+        if leader.phase == ('complete',) and order.kind == 'arm':
             return self._seal(state, number, leader, [rank], ('look',))
-        return self._look(state, number, leader)
+        return self._restart_inspection(state, number, leader)
 
-    def _look(self, state, number, leader):
-        return _lead(
+    def _restart_inspection(self, state, number, leader):
+        return _replace_leader(
             state,
             number,
             leader._replace(
-                todo=(), then=('look',), view=(None,) * self.ranks
+                pending_orders=(), phase=('look',), view=(None,) * self.ranks
             ),
         )
 
-    def _order(self, state, number, leader, todo, then):
-        return _lead(
+    def _start_orders(self, state, number, leader, pending_orders, phase):
+        return _replace_leader(
             state,
             number,
             leader._replace(
-                todo=tuple(todo), then=then, view=(None,) * self.ranks
+                pending_orders=tuple(pending_orders),
+                phase=phase,
+                view=(None,) * self.ranks,
             ),
         )
 
-    def _name(self, number, leader):
-        return self.fence(number) * A_FENCE + leader.names + 1
+    def _next_version(self, number, leader):
+        return self.fence(number) * VERSIONS_PER_FENCE + leader.named_maps + 1
 
-    def _is_told(self, state, rank):
-        """Whether an order to all goes to a rank."""
-        return self.without != 'members' or rank not in state.unlisted
+    def _receives_orders(self, state, rank):
+        """Return whether an order to all ranks goes to a given rank."""
+        return self.disabled_guard != 'members' or rank not in state.unlisted
 
-    def _seal(self, state, number, leader, ranks, then):
-        version = self._name(number, leader)
-        if leader.names + 2 >= A_FENCE:
-            return _lead(state, number, leader._replace(ended=True))
-        return self._order(
+    def _seal(self, state, number, leader, ranks, phase):
+        version = self._next_version(number, leader)
+        if leader.named_maps + 2 >= VERSIONS_PER_FENCE:
+            return _replace_leader(state, number, leader._replace(ended=True))
+        return self._start_orders(
             state,
             number,
-            leader._replace(names=leader.names + 1),
+            leader._replace(named_maps=leader.named_maps + 1),
             [
                 (rank, Order('seal', version))
                 for rank in ranks
-                if self._is_told(state, rank)
+                if self._receives_orders(state, rank)
             ],
-            then,
+            phase,
         )
 
     def _act(self, state, number, leader):
-        match leader.then:
+        match leader.phase:
             case ('look',):
                 return self._decide(state, number, leader)
             case ('hold', version):
-                if not self._is_seen(leader):
-                    return self._see(state, number, leader)
+                if not self._is_inspected(leader):
+                    return self._inspect_all(state, number, leader)
                 return self._hold(state, number, leader, version)
             case ('held', version, step):
-                return self._order(
+                return self._start_orders(
                     state,
                     number,
                     leader,
                     [
                         (rank, Order('arm', version, step + 1))
                         for rank in range(self.ranks)
-                        if self._is_told(state, rank)
+                        if self._receives_orders(state, rank)
                     ],
                     ('armed', step),
                 )
             case ('armed', step):
                 rank = self._choose_held(number)
-                return self._order(
+                return self._start_orders(
                     state,
                     number,
                     leader,
@@ -498,19 +534,23 @@
                 )
             case ('sealed', holders):
                 return self._release(state, number, leader, holders)
-        return self._look(state, number, leader)
+        return self._restart_inspection(state, number, leader)
 
-    def _see(self, state, number, leader):
-        """Look at all ranks at once, after an order has been answered."""
+    def _inspect_all(self, state, number, leader):
+        """Inspect all ranks in one action, after an order was answered."""
         view = state.ranks
         if any(
             rank.epoch != epoch for rank, epoch in zip(view, leader.epochs)
         ):
-            return self._look(state, number, leader)
-        return _lead(state, number, leader._replace(view=view))
+            return self._restart_inspection(state, number, leader)
+        return _replace_leader(state, number, leader._replace(view=view))
 
     def _choose_held(self, number):
-        if self.fenced or self.one_rank or self.without == 'other rank':
+        if (
+            self.fenced
+            or self.hold_one_rank
+            or self.disabled_guard == 'other rank'
+        ):
             return 0
         return (number + 1) % self.ranks
 
@@ -518,30 +558,32 @@
         view = leader.view
         rank = self._choose_held(number)
         if self.timed:
-            # The one rank that is looked at is the one that is to be held.
+            # Only the rank that is to be held is inspected.
             view = (view[rank],)
         else:
             view = tuple(
                 one
                 for place, one in enumerate(view)
-                if self._is_told(state, place)
+                if self._receives_orders(state, place)
             )
         if self.timed:
             pass
         elif any(one.prepared != version for one in view):
-            return self._look(state, number, leader)
+            return self._restart_inspection(state, number, leader)
         elif not all(one.ready for one in view):
-            return _lead(
+            return _replace_leader(
                 state, number, leader._replace(view=(None,) * self.ranks)
             )
-        if self.without != 'no other hold' and any(one.held for one in view):
-            return self._look(state, number, leader)
+        if self.disabled_guard != 'no other hold' and any(
+            one.held for one in view
+        ):
+            return self._restart_inspection(state, number, leader)
         step = state.step + 1
-        if self.without != 'hold anew':
+        if self.disabled_guard != 'hold anew':
             step = max(step, leader.released[rank] + 1)
-        if self.one_rank and step % 2 != number % 2:
+        if self.hold_one_rank and step % 2 != number % 2:
             step += 1
-        return self._order(
+        return self._start_orders(
             state,
             number,
             leader,
@@ -550,7 +592,7 @@
         )
 
     def _release(self, state, number, leader, holders):
-        return self._order(
+        return self._start_orders(
             state,
             number,
             leader,
@@ -562,12 +604,12 @@
         view = leader.view
         if not self.fenced and any(
             max(one.version, one.prepared, (one.armed or (0,))[0])
-            >= (self.fence(number) + 1) * A_FENCE
+            >= (self.fence(number) + 1) * VERSIONS_PER_FENCE
             for one in view
         ):
-            return _lead(state, number, leader._replace(ended=True))
+            return _replace_leader(state, number, leader._replace(ended=True))
         states = [
-            _read(rank, one, state.step, leader.dropped[rank])
+            _make_rank_state(rank, one, state.step, leader.dropped[rank])
             for rank, one in enumerate(view)
         ]
         decide = (
@@ -584,14 +626,22 @@
                 return self._prepare(state, number, leader)
             case map_decisions.Undo():
                 return self._undo(state, number, leader)
-            case map_decisions.Release(unarmed=True) if self.without != 'void':
-                return self._order(
+            case map_decisions.Release(unarmed=True) if (
+                self.disabled_guard != 'void'
+            ):
+                return self._start_orders(
                     state,
                     number,
                     leader,
                     # A leader disarms what its own orders may have armed.
                     [
-                        (rank, Order('disarm', self._name(number, leader) - 1))
+                        (
+                            rank,
+                            Order(
+                                'disarm',
+                                self._next_version(number, leader) - 1,
+                            ),
+                        )
                         for rank in range(self.ranks)
                     ],
                     ('sealed', holders),
@@ -599,12 +649,12 @@
             case map_decisions.Release():
                 return self._release(state, number, leader, holders)
             case map_decisions_unfenced.Complete() if (
-                self.without == 'complete'
+                self.disabled_guard == 'complete'
             ):
                 return self._disarm(state, number, leader, found.version)
             case map_decisions_unfenced.Complete():
-                version, step = _number(found.version), found.from_step
-                return self._order(
+                version, step = _encode_version(found.version), found.from_step
+                return self._start_orders(
                     state,
                     number,
                     leader,
@@ -616,7 +666,9 @@
                 )
             case map_decisions_unfenced.Abandon():
                 return self._disarm(state, number, leader, found.version)
-            case map_decisions_unfenced.Seal() if self.without == 'seal':
+            case map_decisions_unfenced.Seal() if (
+                self.disabled_guard == 'seal'
+            ):
                 return self._release(state, number, leader, holders)
             case map_decisions_unfenced.Seal():
                 return self._seal(
@@ -626,11 +678,11 @@
                     range(self.ranks),
                     ('sealed', holders),
                 )
-        return self._look(state, number, leader)
+        return self._restart_inspection(state, number, leader)
 
     def _disarm(self, state, number, leader, named):
-        version = _number(named)
-        return self._order(
+        version = _encode_version(named)
+        return self._start_orders(
             state,
             number,
             leader,
@@ -643,17 +695,17 @@
         )
 
     def _prepare(self, state, number, leader):
-        version = self._name(number, leader)
-        return self._order(
+        version = self._next_version(number, leader)
+        return self._start_orders(
             state,
             number,
             leader._replace(
-                names=leader.names + 1, changes=leader.changes + 1
+                named_maps=leader.named_maps + 1, changes=leader.changes + 1
             ),
             [
                 (rank, Order('prepare', version))
                 for rank in range(self.ranks)
-                if self._is_told(state, rank)
+                if self._receives_orders(state, rank)
             ],
             ('hold', version),
         )
@@ -663,7 +715,7 @@
             max(old, one.prepared)
             for old, one in zip(leader.dropped, leader.view)
         )
-        return self._order(
+        return self._start_orders(
             state,
             number,
             leader._replace(dropped=dropped),
@@ -682,39 +734,39 @@
         )
 
 
-def _set(row, place, value):
+def _replace_at(row, place, value):
     return row[:place] + (value,) + row[place + 1 :]
 
 
-def _put(state, number, rank):
-    return state._replace(ranks=_set(state.ranks, number, rank))
+def _replace_rank(state, number, rank):
+    return state._replace(ranks=_replace_at(state.ranks, number, rank))
 
 
-def _lead(state, number, leader):
-    return state._replace(leaders=_set(state.leaders, number, leader))
+def _replace_leader(state, number, leader):
+    return state._replace(leaders=_replace_at(state.leaders, number, leader))
 
 
-def _name(number):
+def _make_version(number):
     return expert_maps.Version(
-        fence=number // A_FENCE, number=number % A_FENCE
+        fence=number // VERSIONS_PER_FENCE, number=number % VERSIONS_PER_FENCE
     )
 
 
-def _number(version):
-    return version.fence * A_FENCE + version.number
+def _encode_version(version):
+    return version.fence * VERSIONS_PER_FENCE + version.number
 
 
-def _read(number, rank, entered, dropped):
-    """Return a rank's state in the product's terms."""
-    following = None if rank.armed is None else _name(rank.armed[0])
-    loaded = [_name(rank.version)]
+def _make_rank_state(number, rank, entered, dropped):
+    """Return the product's representation of a rank's state."""
+    following = None if rank.armed is None else _make_version(rank.armed[0])
+    loaded = [_make_version(rank.version)]
     if rank.prepared > dropped and rank.ready:
-        loaded.append(_name(rank.prepared))
+        loaded.append(_make_version(rank.prepared))
     return map_orders.RankState(
         rank=number,
         entered=entered,
         schedule=expert_maps.Schedule(
-            in_force=_name(rank.version),
+            in_force=_make_version(rank.version),
             following=following,
             from_step=0 if rank.armed is None else rank.armed[1],
         ),
@@ -723,54 +775,54 @@
     )
 
 
-#: Parts of the moves of a walk that are a leader's, and of these the ones at
-#: which another leader takes over.
-LEADING = 0.75
-SUCCEEDING = 0.08
+#: Shares of the moves of a walk that are a leader's action, and at which
+#: another leader takes over.
+LEADER_SHARE = 0.75
+TAKEOVER_SHARE = 0.08
 
 
-def walk(rules: Rules, *, seed: int, moves: int = 120) -> State:
-    """Return where a random walk ends: at mixed maps, or after its moves."""
+def random_walk(rules: Rules, *, seed: int, moves: int = 120) -> State:
+    """Return the last state of a random walk, which ends at mixed maps."""
     random = random_module.Random(seed)
     state = rules.start()
     leader = 0
     for _ in range(moves):
-        if random.random() < SUCCEEDING:
+        if random.random() < TAKEOVER_SHARE:
             leader = random.randrange(rules.leaders)
         following = []
-        if random.random() < LEADING:
-            following = list(rules.go_on(state, leader))
-        following = following or list(rules.follow(state))
+        if random.random() < LEADER_SHARE:
+            following = list(rules.leader_successors(state, leader))
+        following = following or list(rules.successors(state))
         if not following:
             break
         state = random.choice(following)
-        if mixes(state):
+        if has_mixed_maps(state):
             break
     return state
 
 
-def mixes(state: State) -> bool:
-    """Whether ranks of a group use different maps."""
+def has_mixed_maps(state: State) -> bool:
+    """Return whether ranks of a group use different maps."""
     return len({rank.version for rank in state.ranks}) > 1
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Found:
-    """What an exploration has found.
+class Result:
+    """The result of an exploration.
 
-    :ivar seen: how many states there are.
-    :ivar mixed: a history that ends in a pass with two maps, if any.
-    :ivar stuck: states from which the group cannot go on.
+    :ivar states: how many states are reachable.
+    :ivar mixed: a trace that ends in a step with two maps, if there is one.
+    :ivar deadlocked: how many states cannot reach the last step.
     """
 
-    seen: int
+    states: int
     mixed: list[State]
-    stuck: int
+    deadlocked: int
 
 
-def explore(rules: Rules) -> Found:
-    """Visit every state that can be reached."""
-    # States are kept to the end, so each collection looks at all in vain.
+def explore(rules: Rules) -> Result:
+    """Visit every reachable state."""
+    # No state is freed before the end, so garbage collection is of no use.
     gc.disable()
     try:
         return _explore(rules)
@@ -778,7 +830,7 @@
         gc.enable()
 
 
-def _explore(rules: Rules) -> Found:
+def _explore(rules: Rules) -> Result:
     start = rules.start()
     numbers = {start: 0}
     states = [start]
@@ -788,17 +840,17 @@
     place = 0
     while place < len(states):
         state = states[place]
-        if mixes(state):
-            return Found(
-                seen=len(states),
-                mixed=_tell(states, before, place),
-                stuck=0,
+        if has_mixed_maps(state):
+            return Result(
+                states=len(states),
+                mixed=_trace(states, before, place),
+                deadlocked=0,
             )
-        if state.step == rules.most_step:
+        if state.step == rules.max_step:
             ends.append(place)
             place += 1
             continue
-        for found in rules.follow(state):
+        for found in rules.successors(state):
             number = numbers.get(found)
             if number is None:
                 number = numbers[found] = len(states)
@@ -807,14 +859,14 @@
                 edges.append([])
             edges[number].append(place)
         place += 1
-    return Found(
-        seen=len(states),
+    return Result(
+        states=len(states),
         mixed=[],
-        stuck=len(states) - _count_leading(edges, ends),
+        deadlocked=len(states) - _count_reaching(edges, ends),
     )
 
 
-def _tell(states, before, place):
+def _trace(states, before, place):
     history = []
     while place >= 0:
         history.append(states[place])
@@ -822,8 +874,8 @@
     return history[::-1]
 
 
-def _count_leading(edges, ends):
-    """Count the states from which one of the ends can be reached."""
+def _count_reaching(edges, ends):
+    """Count the states that can reach one of the end states."""
     reached = set(ends)
     waiting = list(ends)
     while waiting:
--- a/tests/test_map_model.py
+++ b/tests/test_map_model.py
@@ -1,4 +1,4 @@
-"""Every order of events among leaders and ranks, for small groups."""
+"""Checks the protocol that changes expert maps by its model."""
 
 import map_model
 import pytest
@@ -11,7 +11,7 @@
             map_model.Rules(fenced=False, losses=0), id='late by leaders only'
         ),
         pytest.param(
-            map_model.Rules(fenced=False, most_step=2), id='an order is late'
+            map_model.Rules(fenced=False, max_step=2), id='an order is late'
         ),
         pytest.param(
             map_model.Rules(fenced=False, leaders=1, losses=3, changes=2),
@@ -22,10 +22,10 @@
             id='loads are timed, two orders are late',
         ),
         pytest.param(
-            map_model.Rules(fenced=True, most_step=3), id='fenced, one late'
+            map_model.Rules(fenced=True, max_step=3), id='fenced, one late'
         ),
         pytest.param(
-            map_model.Rules(fenced=False, losses=0, most_step=1, timed=True),
+            map_model.Rules(fenced=False, losses=0, max_step=1, timed=True),
             id='loads are timed, late by leaders only',
         ),
         pytest.param(
@@ -38,57 +38,62 @@
         ),
         pytest.param(
             map_model.Rules(
-                fenced=False, leaders=1, changes=2, most_step=2, timed=True
+                fenced=False, leaders=1, changes=2, max_step=2, timed=True
             ),
             id='two timed changes, an order is late',
         ),
         pytest.param(
             map_model.Rules(
-                fenced=False, leaders=1, most_step=3, timed=True, lapses=1
+                fenced=False, leaders=1, max_step=3, timed=True, lapses=1
             ),
             id='an entry lapses, an order is late',
         ),
         pytest.param(
             map_model.Rules(
-                fenced=True, leaders=1, most_step=3, timed=True, lapses=1
+                fenced=True, leaders=1, max_step=3, timed=True, lapses=1
             ),
             id='fenced, an entry lapses, an order is late',
         ),
     ],
 )
 def test_one_map_in_every_pass_and_no_state_is_final(rules):
-    """Two ranks use different maps in one pass, or the group stands for good.
+    """Two ranks use different maps in one step, or the group deadlocks.
 
-    Sequence: any order in which orders are carried out, are lost or come
-    late, while an older leader goes on at any later moment.
-    Cause: a decision that rests on an order being dead that is not.
+    Sequence: orders are carried out, lost or delayed in any order, while an
+    older leader acts at any later moment.
+    Cause: a decision assumes that a lost order cannot take effect any more.
     """
     found = map_model.explore(rules)
-    print(f'{found.seen} states')
+    print(f'{found.states} states')
     assert found.mixed == []
-    assert found.stuck == 0
+    assert found.deadlocked == 0
 
 
 @pytest.mark.parametrize(
     'rules',
     [
         pytest.param(
-            map_model.Rules(fenced=False, most_step=2, without='seal'),
+            map_model.Rules(fenced=False, max_step=2, disabled_guard='seal'),
             id='a held step is released at once',
         ),
         pytest.param(
-            map_model.Rules(fenced=False, most_step=3, without='complete'),
+            map_model.Rules(
+                fenced=False, max_step=3, disabled_guard='complete'
+            ),
             id='an armed map is given up, not completed',
         ),
         pytest.param(
             map_model.Rules(
-                fenced=False, most_step=2, timed=True, without='other rank'
+                fenced=False,
+                max_step=2,
+                timed=True,
+                disabled_guard='other rank',
             ),
             id='all leaders hold the same rank',
         ),
         pytest.param(
             map_model.Rules(
-                fenced=False, losses=0, most_step=3, without='unarmed'
+                fenced=False, losses=0, max_step=3, disabled_guard='unarmed'
             ),
             id='ranks prepare while a map is armed',
         ),
@@ -98,21 +103,21 @@
                 leaders=1,
                 losses=2,
                 timed=True,
-                without='void',
+                disabled_guard='void',
             ),
             id='a held step is released with an order to arm on its way',
         ),
         pytest.param(
-            map_model.Rules(fenced=True, most_step=2, without='tokens'),
+            map_model.Rules(fenced=True, max_step=2, disabled_guard='tokens'),
             id='ranks obey older tokens of a fence',
         ),
         pytest.param(
-            map_model.Rules(fenced=True, most_step=2, without='eras'),
+            map_model.Rules(fenced=True, max_step=2, disabled_guard='eras'),
             id='a restored store gives a fence out again',
         ),
         pytest.param(
             map_model.Rules(
-                fenced=False, losses=0, most_step=2, without='eras'
+                fenced=False, losses=0, max_step=2, disabled_guard='eras'
             ),
             id='it does where ranks check none',
         ),
@@ -121,10 +126,10 @@
                 fenced=False,
                 leaders=1,
                 losses=0,
-                most_step=3,
+                max_step=3,
                 timed=True,
                 lapses=1,
-                without='members',
+                disabled_guard='members',
             ),
             id='a change leaves out ranks that are not listed',
         ),
@@ -133,10 +138,10 @@
                 fenced=True,
                 leaders=1,
                 losses=0,
-                most_step=3,
+                max_step=3,
                 timed=True,
                 lapses=1,
-                without='members',
+                disabled_guard='members',
             ),
             id='it does where ranks check tokens',
         ),
@@ -145,9 +150,9 @@
                 fenced=False,
                 leaders=1,
                 changes=2,
-                most_step=2,
+                max_step=2,
                 timed=True,
-                without='hold anew',
+                disabled_guard='hold anew',
             ),
             id='a step that was released is held again',
         ),
@@ -160,15 +165,15 @@
     assert len(versions) == 2
 
 
-#: Larger than what can be explored whole.
+#: Limits of systems that are too large to be explored exhaustively.
 LARGE = {
     'leaders': 3,
     'changes': 2,
     'losses': 3,
-    'most_step': 8,
+    'max_step': 8,
     'lapses': 2,
-    'lags': True,
-    'forms': 1,
+    'reports_lag': True,
+    'reforms': 1,
 }
 
 
@@ -181,7 +186,7 @@
         ),
         pytest.param(
             map_model.Rules(
-                fenced=False, ranks=2, timed=True, one_rank=True, **LARGE
+                fenced=False, ranks=2, timed=True, hold_one_rank=True, **LARGE
             ),
             id='leaders hold one rank',
         ),
@@ -196,27 +201,29 @@
     ],
 )
 def test_walks_of_larger_groups_never_mix_maps(rules):
-    """Three leaders, late reports and orders, new epochs, lapsed entries."""
+    """Three leaders, late reports and orders, restarts, lapsed listings."""
     for seed in range(300):
-        assert not map_model.mixes(map_model.walk(rules, seed=seed)), seed
+        assert not map_model.has_mixed_maps(
+            map_model.random_walk(rules, seed=seed)
+        ), seed
 
 
 @pytest.mark.parametrize('fenced', [True, False])
-@pytest.mark.parametrize('without', ['members', 'eras'])
-def test_walks_find_mixed_maps_without_a_guard(without, fenced):
+@pytest.mark.parametrize('disabled_guard', ['members', 'eras'])
+def test_walks_find_mixed_maps_without_a_guard(disabled_guard, fenced):
     rules = map_model.Rules(
         fenced=fenced,
         ranks=3,
         leaders=3,
         changes=2,
         losses=2,
-        most_step=6,
+        max_step=6,
         timed=True,
         lapses=1,
-        lags=True,
-        without=without,
+        reports_lag=True,
+        disabled_guard=disabled_guard,
     )
     assert any(
-        map_model.mixes(map_model.walk(rules, seed=seed))
+        map_model.has_mixed_maps(map_model.random_walk(rules, seed=seed))
         for seed in range(1500)
     )
