--- a/tests/test_expert_maps.py
+++ b/tests/test_expert_maps.py
@@ -1,4 +1,4 @@
-"""Tests of expert maps as values."""
+"""Tests of expert maps and schedules."""
 
 import msgspec
 import pytest
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -21,7 +21,7 @@
         coroutine.send(None)
     except StopIteration as stopped:
         return stopped.value
-    raise AssertionError('it waited')
+    raise AssertionError('the coroutine waited')
 
 
 class Platform:
@@ -69,7 +69,7 @@
 
 
 def test_lapsed_lease_is_taken_over(platform):
-    """The holder dies.  The next one waits for the whole time itself."""
+    """The holder dies; the next one waits for the duration of the lease."""
     one, other = platform.make_lease('one'), platform.make_lease('other')
     run(one.acquire())
     platform.now += 2 * SECONDS
@@ -97,7 +97,7 @@
     ('gone', 'taken'), [((), False), (('b',), False), (('a',), True)]
 )
 def test_lease_of_a_holder_that_has_ended_is_free(platform, gone, taken):
-    """A new holder waits for the time of one that has ended."""
+    """A contender waits although the holder is known to have ended."""
     first = platform.make_lease('a')
     second = platform.make_lease('b', is_gone=lambda name: name in gone)
     held = run(first.acquire())
@@ -118,10 +118,12 @@
 
 
 def test_restarted_holder_inherits_nothing(platform):
-    """A holder restarts under its name; its predecessor is only frozen.
+    """Two processes of one name hold the lease.
 
-    The successor's first write is lost, then the predecessor wakes up and
-    takes the lease.  Recognised by the name alone, it would be held by both.
+    Sequence: a holder restarts under its name while the old process is only
+    frozen; the first write of the new one is lost; then the old one resumes
+    and takes the lease.
+    Cause: writes are recognised by the name alone.
     """
     before, after = platform.make_lease('one'), platform.make_lease('one')
     platform.table.faults.lose_requests = 1
@@ -143,8 +145,8 @@
 def test_slow_renewal_counts_from_its_start(platform):
     """The reply to a renewal takes longer than the lease lasts.
 
-    Counted from the reply, the holder would hold on while others, who saw
-    the record change long ago, take over.
+    If the duration counted from the reply, the holder would continue while
+    others, which saw the record change long before, take over.
     """
     one = platform.make_lease('one')
     run(one.acquire())
@@ -160,7 +162,7 @@
     """A write takes effect but its reply is lost.
 
     The next write of the same contender would conflict with its own, and the
-    lease would belong to nobody until it lapses.
+    lease would have no holder until it lapses.
     """
     one = platform.make_lease('one')
     if operation == 'renew':
@@ -204,7 +206,7 @@
 
 
 def list_moments():
-    """Return what a copy of the store can hold of a lease."""
+    """Return the moments at which a backup of the store may be made."""
     return ['before it was taken', 'when it was held', 'when it was renewed']
 
 
@@ -212,9 +214,10 @@
 def test_holder_takes_a_restored_lease_anew(platform, moment):
     """A group has no leader, or one whose orders are refused, for good.
 
-    Sequence: the store comes back from a copy some seconds old.  The holder
-    finds an older record of its own, or none, and goes on by its number,
-    which others have had since, or waits for itself.
+    Sequence: the store is restored from a backup that is some seconds old.
+    The holder finds an older record of its own, or none.
+    Cause: it continues under that number, which others have had since, or
+    waits for its own lease to lapse.
     """
     copies = {'before it was taken': platform.table.copy()}
     one = platform.make_lease('one')
@@ -234,10 +237,10 @@
 
 @pytest.mark.parametrize('moment', ['before', 'between', 'after'])
 def test_nobody_takes_a_lease_that_a_restore_has_undone(platform, moment):
-    """Two hold one lease, each by its own clock.
+    """Two contenders hold one lease, each by its own clock.
 
-    Sequence: one gives the lease up and another one takes it; the store comes
-    back from a copy in which it is free, and a third one takes it.
+    Sequence: one releases the lease and another one takes it; the store is
+    restored from a backup in which it is free, and a third one takes it.
     """
     one, other, third = map(platform.make_lease, ('one', 'other', 'third'))
     copies = {'before': platform.table.copy()}
@@ -258,10 +261,10 @@
 
 
 def test_fences_are_given_out_once_whatever_is_restored(platform):
-    """An older leader's orders count again.
+    """Orders of an older leader are obeyed again.
 
-    Sequence: the store goes back twice to a copy in which nobody has had the
-    lease, and whoever takes it gets the first fencing number.
+    Sequence: the store is restored twice from a backup in which nobody has
+    had the lease, and each new holder gets the first fencing number.
     """
     empty = platform.table.copy()
     fences = []
@@ -275,7 +278,7 @@
 
 
 class ParkingStore(memory.MemoryStore):
-    """Holds back single writes, which take effect when they are let go."""
+    """Delays single writes until a test lets them take effect."""
 
     def __init__(self, *, platform):
         super().__init__(table=platform.table, clock=platform.clock)
@@ -295,8 +298,8 @@
         return written
 
 
-#: Three processes; the last is a restart of the first under its name, which
-#: may still be frozen and wake up.
+#: Three processes; the last is a restart of the first under the same name.
+#: The first may still be frozen and resume.
 HOLDERS = ('one', 'two', 'one')
 NUMBERS = strategies.sampled_from(range(len(HOLDERS)))
 FAULTS = ('outage', 'stale', 'lost reply', 'late write')
--- a/tests/test_map_leader.py
+++ b/tests/test_map_leader.py
@@ -1,4 +1,4 @@
-"""Tests of the leader of a rank group: faults at each step of a change."""
+"""Tests of a group's leader under faults at each step of a map change."""
 
 import pytest
 
@@ -41,7 +41,7 @@
 
 
 def finish(network):
-    """End all faults; the group has to go on, on one map."""
+    """End all faults; check that the group continues on one map."""
     network.heal()
     network.planning = True
     changes = network.changes
@@ -61,11 +61,11 @@
 @pytest.mark.parametrize('fault', PROCESS_FAULTS)
 @pytest.mark.parametrize('step', MAP_STEPS + LEASE_STEPS)
 def test_process_fault_at_step(step, fault, checks_fence):
-    """A step mixes maps, or the group waits for ever.
+    """Ranks use different maps in one step, or the group waits forever.
 
     Sequence: the leader is killed or paused as it reaches the step; another
-    takes over; the paused one wakes and goes on.
-    Cause: any step that takes for granted that a leader is still the leader.
+    one takes over; the paused one resumes.
+    Cause: a step assumes that a leader is still the leader.
     """
     run_row(step, fault, checks_fence=checks_fence)
 
@@ -74,11 +74,11 @@
 @pytest.mark.parametrize('fault', ORDER_FAULTS)
 @pytest.mark.parametrize('step', MAP_STEPS + LEASE_STEPS)
 def test_order_fault_at_step(step, fault, agent):
-    """A step mixes maps, or the group waits for ever.
+    """Ranks use different maps in one step, or the group waits forever.
 
-    Sequence: as the leader has reached the step, its next order to an agent
-    or the reply is lost, or the order is doubled or comes late.
-    Cause: any step that takes for granted what became of an order.
+    Sequence: once the leader has reached the step, its next order to an agent
+    or the reply is lost, or the order is duplicated or delayed.
+    Cause: a step assumes that an order did or did not take effect.
     """
     run_row(step, fault, agent=agent)
 
@@ -90,9 +90,11 @@
 def test_agent_that_is_unlisted_is_not_left_out(
     step, agent, rounds, checks_fence
 ):
-    """A step mixes maps when an agent is unlisted in the middle of a change.
+    """Ranks use different maps in one step.
 
-    The agent goes on, and is listed again after some rounds.
+    Sequence: an agent is unlisted during a change, continues to run, and is
+    listed again after some rounds.
+    Cause: the change leaves out an agent that is not listed.
     """
     network = make_network(checks_fence=checks_fence, steps_a_round=3)
     seen = []
@@ -129,12 +131,12 @@
 
 
 def test_leader_that_takes_its_lapsed_lease_again(network):
-    """No change takes place for long after an outage of the store.
+    """No change succeeds for a long time after an outage of the store.
 
-    Sequence: the lease lapses while the store is away, nobody else takes
-    it, and the leader is given it again under the same fence.
-    Cause: it numbered its orders from 1 again, which agents refuse as
-    overtaken, and named a new map like an old one.
+    Sequence: the lease lapses while the store does not answer, nobody else
+    takes it, and the leader takes it again under the same fence.
+    Cause: the leader numbers its orders from 1 again, which agents refuse as
+    overtaken, and gives a new map the version of an old one.
     """
     network.kill_leader('leader-1')
     assert network.run_fairly(rounds=200, until=lambda: network.changes >= 5)
@@ -153,12 +155,12 @@
 
 @pytest.mark.parametrize('restarts', [False, True])
 def test_deposed_leader_releases_another_ones_hold(network, restarts):
-    """Ranks that have armed a map go on beside ranks that have not.
+    """Ranks that have armed a map continue beside ranks that have not.
 
-    Sequence: a leader is paused as it is about to release the held rank.
-    The next leader has finished that change and begun its own: it holds the
-    same rank and has armed only one agent.  The first one wakes and sends
-    its release, in one case to an agent that has restarted in between.
+    Sequence: a leader is paused before it releases the held rank.  The next
+    leader finishes that change and starts its own: it holds the same rank
+    and has armed only one agent.  The first leader resumes and sends its
+    release, in one case to an agent that has restarted in between.
     Cause: an agent obeys an old fence, or knows none after its restart.
     """
     assert network.run_fairly(rounds=200, until=lambda: network.changes >= 3)
@@ -188,10 +190,10 @@
 
 
 def test_released_change_is_finished(network):
-    """Ranks that were about to change maps are kept from it half way.
+    """A change is undone on some ranks after others have switched maps.
 
     Sequence: a leader is killed after the release; some ranks have entered
-    the step of the change, others have not; then the next leader looks.
+    the step of the change, others have not; the next leader inspects them.
     Cause: it undoes a change that can only be finished.
     """
     network.traps[steps.Step.MAP_RELEASED] = Fault.KILL
@@ -212,11 +214,12 @@
 
 @pytest.mark.parametrize('away', [False, True], ids=['store', 'no-store'])
 def test_agent_restarts_while_the_group_is_held(network, away):
-    """The group waits for as long as the store is away.
+    """The group waits for as long as the store does not answer.
 
     Sequence: a rank is held; its agent restarts and knows no fence; the
     store cannot be read.
-    Cause: only the store could tell the fence; now the other agents do.
+    Cause: the agent reads the fence from the store only, not from other
+    agents.
     """
     network.traps[steps.Step.MAP_ARMED] = Fault.PAUSE
     assert network.run_fairly(rounds=60, until=lambda: network.trapped)
@@ -239,8 +242,8 @@
     """A restarted engine enters a step with another map than the rest.
 
     Sequence: during a change the engine of a rank restarts and has no map;
-    the others are at different stages of the change.
-    Cause: it was given a map before it was settled which one is in force.
+    the others are at different phases of the change.
+    Cause: the engine is given a map before it is known which one is in force.
     """
     network.watch(step, lambda _: network.group.restart(rank))
     network.run_fairly(rounds=60)
@@ -249,11 +252,11 @@
 
 
 def test_load_that_never_ends_is_undone(network):
-    """A change hangs, and with it every later one.
+    """A change and all later ones hang.
 
-    Sequence: one rank's weights never arrive.
-    Cause: without a limit the leader waits for ever; the group must not be
-    touched meanwhile.
+    Sequence: the weights of one rank never arrive.
+    Cause: without a limit the leader waits forever.  The group must not be
+    held in the meantime.
     """
     network.group.load_seconds = 0.1
     network.group.endless_loads.add(2)
@@ -270,8 +273,8 @@
 def test_loaded_change_waits_for_promised_deadlines(network):
     """A map change makes a call in flight miss its deadline.
 
-    Sequence: a call with no time to spare begins while weights are loaded.
-    Cause: the time to spare was asked before the loading only.
+    Sequence: a call that cannot be delayed starts while weights are loaded.
+    Cause: the leader checks the slack of calls only before the loading.
     """
     network.watch(
         steps.Step.MAP_PREPARED, lambda _: setattr(network, 'slack', 0.01)
@@ -285,11 +288,11 @@
 
 
 def test_dead_rank_is_shown(network):
-    """The group stands still and nobody says why.
+    """The group stops and the operator cannot see why.
 
-    Sequence: an engine dies for good in the middle of a change.
-    Cause: a group in lock-step cannot go on without a rank; the operator
-    has to see which.
+    Sequence: an engine dies for good during a change.
+    Cause: a group in lock-step cannot continue without a rank, so the
+    operator has to be shown which one is missing.
     """
     network.watch(steps.Step.MAP_ARMED, lambda _: network.group.kill(2))
     network.run_fairly(rounds=60)
@@ -299,7 +302,7 @@
 
 
 def test_agent_that_is_gone_is_shown(network):
-    """A leader waits and the operator cannot see for which agent."""
+    """A leader waits for an agent and the operator cannot see why."""
     network.run_fairly(rounds=10)
     network.stop_agent('agent-1')
     network.run_fairly(rounds=10)
--- a/tests/test_map_ranks.py
+++ b/tests/test_map_ranks.py
@@ -1,4 +1,4 @@
-"""Tests of what an agent obeys and what it refuses."""
+"""Tests of which orders an agent obeys and which it refuses."""
 
 import pytest
 
@@ -93,10 +93,10 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize('checks_fence', [True, False])
 async def test_overtaken_order_is_refused(checks_fence):
-    """Symptom: a rank arms a map on its own and the step mixes maps.
+    """A rank arms a map on its own, and ranks use different maps in a step.
 
-    Sequence: a leader arms a map and undoes it; then a copy of the first
-    order, delayed on its way, arrives.
+    Sequence: a leader arms a map and undoes it; then a delayed copy of the
+    first order arrives.
     Cause: without sequence numbers the copy looks like a new order.
     """
     stand_in, ranks = make_ranks(checks_fence=checks_fence)
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -1,4 +1,4 @@
-"""Tests of rank groups over HTTP engines and the agents' orders."""
+"""Tests of rank groups with engines over HTTP."""
 
 import time
 
@@ -32,7 +32,7 @@
 
 
 class Client:
-    """Carries orders to the groups of this process."""
+    """Delivers orders to the rank groups of this process."""
 
     def __init__(self):
         self.groups = {}
@@ -44,7 +44,7 @@
 
 
 class OneChange:
-    """A planner that wants two ranks to change places, once."""
+    """A planner that exchanges the experts of two ranks once."""
 
     def __init__(self):
         self.done = None
@@ -104,10 +104,10 @@
 
 
 async def test_group_starts_and_changes_its_map_in_one_step():
-    """Ranks would use two maps in one step during a change.
+    """Ranks use two maps in one step during a change.
 
-    Sequence: two agents carry four ranks; one leads, starts the group and
-    exchanges the experts of two ranks while the group steps on.
+    Sequence: two agents serve four ranks; one leads, starts the group and
+    exchanges the experts of two ranks while the group enters further steps.
     """
     ranks = groups.Group(ranks=4)
     engine = group_engine.GroupEngine(group=ranks, step_seconds=0.001)
@@ -135,11 +135,11 @@
 
 
 async def test_leader_that_stops_leaves_the_group_settled():
-    """A planned stop of the leader makes the group wait for a lease to end.
+    """After a planned stop of the leader the group waits for its lease's end.
 
-    Sequence: a change has held a rank, the leader's agent is told to stop;
-    the rank is released only by the next leader, when the lease has lapsed.
-    Cause: the leader's task just ended.
+    Sequence: a change holds a rank, and the leader's agent is told to stop;
+    the next leader releases the rank once the lease has lapsed.
+    Cause: the leader's task ends without reconciling the group.
     """
     ranks = groups.Group(ranks=4)
     engine = group_engine.GroupEngine(group=ranks, step_seconds=0.001)
