--- a/marigoldramp/leases.py
+++ b/marigoldramp/leases.py
@@ -228,7 +228,7 @@
     ) -> Held | NotHeld:
         """Take over a lease whose record is from before a restore.
 
-        The last holder may be another one than the record names.
+        The record may not name the last holder.
         """
         lapsed = self._has_lapsed(found, record)
         was_ours = self._clock() < self._expires_at
--- a/marigoldramp/map_changes.py
+++ b/marigoldramp/map_changes.py
@@ -192,7 +192,7 @@
         agent = client.find_agent(self._choose_held_rank(client))
         if agent is None:
             return None
-        # Any recent step of the rank suffices here.  A report that shows the
+        # A lower bound of the rank's step suffices.  A report that shows the
         # effect of all orders comes 0.35 s after the last of them; waiting
         # for it leaves a group of 72 ranks uneven for 0.45 s from each plan
         # on instead of 0.26 s.
@@ -209,7 +209,7 @@
     async def _hold_first_accepted(
         self, client: map_client.GroupClient, agent: str, first: int
     ) -> int | None:
-        """Hold a rank before the first step that it accepts; return that."""
+        """Hold a rank before the first step that it accepts; return it."""
         for step in range(first, first + MAX_HOLD_ATTEMPTS):
             if not self._may_hold(client, step):
                 continue
--- a/marigoldramp/map_leader.py
+++ b/marigoldramp/map_leader.py
@@ -58,7 +58,7 @@
 class Leader:
     """Leads one group for as long as it holds the lease.
 
-    :param agents: returns the names of the agents that carry the group.
+    :param agents: returns the names of the agents that run the group's ranks.
     :param renew_seconds: time between two renewals of the lease.
     :param fenced: whether ranks refuse orders of older leaders.
     :ivar client: the client of the current or last term, ``None`` before.
@@ -135,12 +135,12 @@
 
     @property
     def decision(self) -> map_reconciliation.Decision | None:
-        """Return the latest decision of the reconciliation."""
+        """Return the latest decision of the reconciliation loop."""
         return self._reconciler.decision
 
     @property
     def failure(self) -> Failure | None:
-        """Return why the last inspection or order of it failed, if it did."""
+        """Return why the last inspection or order failed, if it did."""
         return self._reconciler.failure
 
     async def run(self) -> None:
@@ -202,10 +202,12 @@
             if self._resigning:
                 await self._lease.release()
                 return
-            if not await self._plan_change(client):
+            if not await self._make_planned_change(client):
                 await self._sleep(self._timing.poll_seconds)
 
-    async def _plan_change(self, client: map_client.GroupClient) -> bool:
+    async def _make_planned_change(
+        self, client: map_client.GroupClient
+    ) -> bool:
         """Ask the planner for a change and make it.
 
         :returns: whether a change was started, so that the group has to be
--- a/marigoldramp/map_reconciliation.py
+++ b/marigoldramp/map_reconciliation.py
@@ -178,10 +178,9 @@
     ) -> Failure | None:
         """Arm a map on the ranks that have not armed it yet.
 
-        A rank refuses if it has been told to prepare a newer map, which it
-        copies still and which its report does not show.  The group would
-        wait forever, so the rank is given a version that its report does
-        show.
+        A rank refuses if it is copying a newer map, which its report does not
+        show.  The group would then wait forever, so the rank is given a
+        version that its report does show.
         """
         order = map_orders.Arm(
             version=decision.version, from_step=decision.from_step
--- a/marigoldramp/rank_groups.py
+++ b/marigoldramp/rank_groups.py
@@ -113,7 +113,7 @@
 
     :param name: the group's name.
     :param list_instances: returns the instance list as it was last read.
-    :param engines: engine of each rank beside this agent.
+    :param engines: engine of each of this agent's ranks.
     :param slack: see :class:`.map_ranks.OrderHandler`.
     """
 
--- a/tests/map_model.py
+++ b/tests/map_model.py
@@ -84,7 +84,7 @@
 
     view: tuple[Rank | None, ...]
     pending_orders: tuple[tuple[int, Order], ...] = ()
-    phase: tuple[str, ...] = ('look',)
+    phase: tuple[str, ...] = ('inspect',)
     named_maps: int = 0
     changes: int = 0
     inspected: bool = False
@@ -174,7 +174,7 @@
     def fence(self, leader):
         """Return the fence of a leader.
 
-        Without the guard ``eras`` a restored store gives one out again.
+        Without the guard ``eras`` a restored store issues the same one again.
         """
         return 1 if self.disabled_guard == 'eras' else leader + 1
 
@@ -295,7 +295,7 @@
             if rank.prepared and not rank.ready:
                 ready = rank._replace(ready=True)
                 yield self._record_past(_replace_rank(state, number, ready))
-        yield from self._relist(state)
+        yield from self._listing_successors(state)
         for late in state.late:
             rest = state._replace(late=state.late - {late})
             found = self.obey(
@@ -313,8 +313,8 @@
         if not leader.ended:
             yield from self._leader_successors(state, number, leader)
 
-    def _relist(self, state):
-        """Yield the states after a listing changed or the group restarted."""
+    def _listing_successors(self, state):
+        """Yield the states after a listing changes or the group restarts."""
         for number in range(self.ranks):
             if number in state.unlisted:
                 unlisted = state.unlisted - {number}
@@ -357,14 +357,14 @@
             for place, (rank, order) in enumerate(leader.pending_orders):
                 yield from self._send(state, number, leader, place)
             return
-        if leader.phase[0] == 'look' and not self._is_inspected(leader):
+        if leader.phase[0] == 'inspect' and not self._is_inspected(leader):
             if self.fenced and not leader.inspected:
                 yield self._start_orders(
                     state,
                     number,
                     leader._replace(inspected=True),
                     [(one, Order('none')) for one in range(self.ranks)],
-                    ('look',),
+                    ('inspect',),
                 )
                 return
             if state.unlisted:
@@ -457,7 +457,7 @@
         if order.kind == 'none':
             leader = leader._replace(inspected=False)
         if leader.phase == ('complete',) and order.kind == 'arm':
-            return self._seal(state, number, leader, [rank], ('look',))
+            return self._seal(state, number, leader, [rank], ('inspect',))
         return self._restart_inspection(state, number, leader)
 
     def _restart_inspection(self, state, number, leader):
@@ -465,7 +465,9 @@
             state,
             number,
             leader._replace(
-                pending_orders=(), phase=('look',), view=(None,) * self.ranks
+                pending_orders=(),
+                phase=('inspect',),
+                view=(None,) * self.ranks,
             ),
         )
 
@@ -505,7 +507,7 @@
 
     def _act(self, state, number, leader):
         match leader.phase:
-            case ('look',):
+            case ('inspect',):
                 return self._decide(state, number, leader)
             case ('hold', version):
                 if not self._is_inspected(leader):
@@ -530,7 +532,7 @@
                     number,
                     leader,
                     [(rank, Order('release', 0, step))],
-                    ('look',),
+                    ('inspect',),
                 )
             case ('sealed', holders):
                 return self._release(state, number, leader, holders)
@@ -597,7 +599,7 @@
             number,
             leader,
             [(rank, Order('release', 0, step)) for rank, step in holders],
-            ('look',),
+            ('inspect',),
         )
 
     def _decide(self, state, number, leader):
@@ -691,7 +693,7 @@
                 for rank, one in enumerate(leader.view)
                 if one.armed and one.armed[0] == version
             ],
-            ('look',),
+            ('inspect',),
         )
 
     def _prepare(self, state, number, leader):
@@ -730,7 +732,7 @@
                 )
                 for rank, one in enumerate(leader.view)
             ],
-            ('look',),
+            ('inspect',),
         )
 
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Property tests of one map in every step, on a stand-in group."""
+"""Property tests that all ranks use one map in every step."""
 
 import hypothesis
 from hypothesis import stateful
