--- a/tests/gateway/test_leaders.py
+++ b/tests/gateway/test_leaders.py
@@ -151,7 +151,7 @@
             renew_seconds=1.2,
             planner=test_rank_transport.Planner(world.load_seconds),
             clock=virtual_time.now,
-            pace=test_rank_transport.PACE,
+            timing=test_rank_transport.TIMING,
             fenced=False,
         )
 
