--- a/marigoldramp/map_leader.py
+++ b/marigoldramp/map_leader.py
@@ -234,7 +234,7 @@
         """Return the map in force, fetched once for each version.
 
         A version never names two maps.  Fetching a map of 61 layers at each
-        inspection would cost more than all other control traffic of the
+        inspection would cost more than all other control work of the
         instance.
         """
         if self._current is not None and self._current.version == version:
--- a/marigoldramp/map_moves.py
+++ b/marigoldramp/map_moves.py
@@ -5,9 +5,9 @@
 therefore always takes the next move in the layer with the highest skew, and
 all layers share the number of experts that a rank may copy.  If layers were
 searched one after the other, the first ones would use up the copies for the
-last hundredths of their skew and the last ones would keep all of theirs.  For
-72 ranks with a skew of 6.0 after a shift of demand, five copies per rank lead
-to a skew of 1.28 instead of 1.77.
+last hundredths of their skew and the last ones would keep all of theirs.  With
+five copies per rank this search brings 72 ranks from a skew of 6.0 after a
+shift of demand to 1.28; one layer after the other reaches 1.77.
 """
 
 from typing import Sequence
