--- a/marigoldramp/expert_maps.py
+++ b/marigoldramp/expert_maps.py
@@ -93,8 +93,8 @@
 def check(*, expert_map: ExpertMap, shape: Shape) -> tuple[str, ...]:
     """Return what is wrong with a map; nothing if it can be used.
 
-    Maps are checked before the change, as a map without some expert would
-    fail on one rank only when a token needs that expert, long after it.
+    Maps are checked before the change: a map that lacks an expert would fail
+    only when a token needs that expert, on one rank, long after the change.
     """
     faults = []
     if len(expert_map.layers) != shape.layers:
--- a/marigoldramp/leases.py
+++ b/marigoldramp/leases.py
@@ -12,9 +12,9 @@
 all receivers check it, safety does not depend on time, and the lease of a
 holder that is known to have ended may be taken over at once.
 
-A store that is restored from a backup returns older records, or none.  The
-fencing numbers after them have been used, and a record of our own does not
-show who holds the lease now.  Each restore therefore starts an era whose
+A store that is restored from a backup returns older records, or none.  Higher
+fencing numbers than theirs have been used, and even a record of our own does
+not show who holds the lease now.  Each restore therefore starts an era whose
 numbers are above all earlier ones, and the holder has to take the lease anew.
 """
 
@@ -31,13 +31,13 @@
 from . import store as store_module
 
 KIND = 'leases'
-#: Part of a lease's duration by which its holder stops before others start,
-#: as clocks run at different rates.
+#: Share of a lease's duration by which its holder stops before others may
+#: start, as clocks run at different rates.
 DEFAULT_MARGIN_SHARE = 0.2
 #: Own writes that are still recognised when they take effect late.
 MAX_REMEMBERED_WRITES = 16
-#: Fencing numbers of one era, that is new holders between two restores of the
-#: store; there are a few a day.
+#: Fencing numbers of one era, the time between two restores of the store.
+#: Each new holder uses one; there are a few a day.
 FENCES_PER_ERA = 1 << 16
 
 
@@ -111,7 +111,8 @@
     :param margin: seconds by which the holder stops early.
     :param is_gone: returns whether a holder is known to have ended.  Only for
         a lease whose fencing number is checked wherever the holder acts: a
-        holder wrongly believed to have ended acts until it is refused.
+        holder that is wrongly believed to have ended goes on acting until its
+        orders are refused.
     """
 
     __slots__ = (
@@ -264,7 +265,7 @@
         return now - self._observed.at >= max(self._seconds, record.seconds)
 
     def _last_fence_before_restore(self) -> int:
-        """Return the highest number possible before the last restore."""
+        """Return the highest fence possible before the last restore."""
         return self._store.era() * FENCES_PER_ERA
 
     async def _take(self, expected: int) -> Held | NotHeld:
--- a/marigoldramp/map_changes.py
+++ b/marigoldramp/map_changes.py
@@ -37,14 +37,14 @@
 #: refuses a step that it has entered, and the next one is tried.
 TIMED_LEAD_STEPS = 3
 MAX_HOLD_ATTEMPTS = 16
-#: Steps that are added to the lead for a while after orders were slow.  An
-#: order without a reply takes 0.1 s, and the group waits while ranks still
-#: have to be armed or released; five more steps take 0.35 s.  Without them the
-#: streams of a loaded group that leaves a tenth of the orders unanswered pause
-#: for 0.17 to 0.23 s.
+#: Steps that are added to the lead for ``SLOW_ORDER_PERIOD_SECONDS`` after a
+#: slow order.  An order without a reply takes 0.1 s, and the group waits while
+#: ranks still have to be armed or released; five more steps take 0.35 s.
+#: Without them the streams of a loaded group pause for 0.17 to 0.23 s when a
+#: tenth of the orders gets no reply.
 SLOW_ORDER_LEAD_STEPS = 5
 SLOW_ORDER_PERIOD_SECONDS = 6.0
-#: Time from which on an order to all ranks counts as slow: 0.02 to 0.06 s is
+#: An order to all ranks that takes this long counts as slow: 0.02 to 0.06 s is
 #: usual, and an order that is sent again takes 0.1 s.
 MIN_SLOW_ORDER_SECONDS = 0.1
 #: Time for which ranks that are still loading are asked to arm repeatedly.
@@ -123,20 +123,22 @@
         version = client.new_version()
         new = expert_maps.ExpertMap(version=version, layers=plan.layers)
         if plan.load_seconds is None:
-            held = await self._hold_after_reports(client, new, plan)
+            held_step = await self._hold_after_reports(client, new, plan)
             max_seconds = 0.0
         else:
-            held = await self._hold_after_delay(client, new, plan.load_seconds)
+            held_step = await self._hold_after_delay(
+                client, new, plan.load_seconds
+            )
             max_seconds = MAX_ARM_SECONDS
-        if held is None:
+        if held_step is None:
             return False
         rank = self._choose_held_rank(client)
         logging.info(
             'step held',
-            extra=logs.fields(version=str(version), rank=rank, step=held),
+            extra=logs.fields(version=str(version), rank=rank, step=held_step),
         )
         await steps.reach(steps.Step.MAP_ARM_SENT, self._instance)
-        order = map_orders.Arm(version=version, from_step=held + 1)
+        order = map_orders.Arm(version=version, from_step=held_step + 1)
         if not await self._arm(client, order, max_seconds):
             return False
         logging.info(
@@ -194,8 +196,8 @@
             return None
         # A lower bound of the rank's step suffices.  A report that shows the
         # effect of all orders comes 0.35 s after the last of them; waiting
-        # for it leaves a group of 72 ranks uneven for 0.45 s from each plan
-        # on instead of 0.26 s.
+        # for it leaves a group of 72 ranks uneven for 0.45 s after each plan
+        # instead of 0.26 s.
         answer = await client.send(agent, map_orders.Confirm(settled=False))
         if isinstance(answer, Failure) or not self._may_continue():
             return None
@@ -315,9 +317,10 @@
     def _may_hold(self, client: map_client.GroupClient, step: int) -> bool:
         """Return whether this leader may hold a given step.
 
-        Where ranks check no fences, successive leaders that hold the same
-        rank use even and odd steps in turn, also across a restore of the
-        store, so that a late release of one never names a hold of the next.
+        Where ranks check no fences, a late release order of an older leader
+        can end a hold of the same rank and step.  Successive leaders that
+        hold the same rank therefore use even and odd steps in turn, also
+        across a restore of the store.
         """
         if self._fenced:
             return True
--- a/marigoldramp/map_client.py
+++ b/marigoldramp/map_client.py
@@ -51,7 +51,8 @@
     It numbers the orders and stores the latest reply of each agent.  An order
     to all goes to the members: the agents that were listed when the group was
     last inspected.  An agent that is unlisted later stays a member; without
-    it, a change could be released although that agent has not armed the map.
+    it, the held rank could be released although that agent has not armed the
+    map.
 
     :param agents: returns the names of the agents that are now listed for
         the group.
@@ -132,7 +133,7 @@
     async def inspect(
         self,
     ) -> tuple[map_orders.RankState, ...] | Failure:
-        """Return the states of all ranks, after renewing the members.
+        """Update the members and return the states of all ranks.
 
         The agents that are now listed become the members.  No older leader
         can change the returned states any more.
--- a/marigoldramp/map_decisions.py
+++ b/marigoldramp/map_decisions.py
@@ -5,9 +5,9 @@
 
 The store keeps only the fencing number.  A new leader learns everything else
 from the ranks: whether a change is armed, on which of them, and whether one of
-them is still held.  While a rank is held, the change can be undone.  A rank
-is released only after every rank has armed the new map, so once none is held
-the change has to be finished.
+them is still held.  While a rank is held, the change can be undone.  In a
+change, the held rank is released only after every rank has armed the new map,
+so an armed change without a held rank has to be finished.
 """
 
 import dataclasses
--- a/marigoldramp/map_decisions_unfenced.py
+++ b/marigoldramp/map_decisions_unfenced.py
@@ -4,16 +4,17 @@
 lost, at any later moment.  The decisions therefore never assume that an order
 without a reply has no effect.  They rely on what a rank guarantees:
 
-- It refuses to prepare a version that is not newer than all that it was told
-  to prepare before, and after it refuses to arm any older one.
+- It prepares a version only if that is newer than all that it was told to
+  prepare before, and from then on refuses to arm any older one.
 - It refuses to prepare anything while a map is armed.
 - It refuses to arm or to hold a step that has begun.
 
 Every leader therefore completes a map that it finds armed.  It abandons one
 only when a rank reports a newer version, and so can never arm that map any
-more.  A held rank is released only when all ranks have armed one map, which
-no leader abandons then, or when all have prepared a newer version since the
-hold was seen, so that an order to arm that is still on its way is refused.
+more.  A held rank is released only in two cases: all ranks have armed one
+map, which no leader then abandons; or all have prepared a newer version since
+the hold was seen, so that they refuse an order to arm that is still on its
+way.
 """
 
 import dataclasses
--- a/marigoldramp/map_fences.py
+++ b/marigoldramp/map_fences.py
@@ -21,7 +21,7 @@
 ) -> int | None:
     """Return the fence in a lease's object, ``None`` if unreadable.
 
-    It is 0 before anybody has held the lease.
+    It is 0 if the object does not exist.
     """
     found = await platform.read(key=key)
     match found:
--- a/marigoldramp/map_leader.py
+++ b/marigoldramp/map_leader.py
@@ -61,7 +61,8 @@
     :param agents: returns the names of the agents that run the group's ranks.
     :param renew_seconds: time between two renewals of the lease.
     :param fenced: whether ranks refuse orders of older leaders.
-    :ivar client: the client of the current or last term, ``None`` before.
+    :ivar client: the client of the current or last term, ``None`` before the
+        first.
     """
 
     __slots__ = (
--- a/marigoldramp/map_moves.py
+++ b/marigoldramp/map_moves.py
@@ -21,7 +21,7 @@
 class _LayerState:
     """The search in one layer and the best layer that it has found.
 
-    :ivar spent: copies that the moves since the best layer need.
+    :ivar spent: copies needed by the moves made since ``best`` was found.
     :ivar moves: moves made in this layer.
     """
 
@@ -71,8 +71,8 @@
     def _move(self, layer: _LayerState) -> bool:
         """Make the next move in a layer; return whether there was one."""
         search = layer.search
-        # The skew of an even layer is 1, so no move can gain more than what
-        # the best skew is above it.
+        # An even layer has a skew of 1, so further moves can lower the best
+        # skew by at most its excess over 1.
         required_gain = self._min_gain_per_copy * layer.spent
         if (
             layer.moves >= self._max_moves
--- a/marigoldramp/map_orders.py
+++ b/marigoldramp/map_orders.py
@@ -27,7 +27,7 @@
 class Count(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, tag='n'
 ):
-    """Report the counts of all ranks; changes nothing, needs no fence."""
+    """Report token counts of experts; changes nothing, needs no fence."""
 
 
 class Inspect(
--- a/marigoldramp/map_ranks.py
+++ b/marigoldramp/map_ranks.py
@@ -49,7 +49,7 @@
         """Return a map that the rank uses or has loaded."""
 
     async def fetch_report(self) -> popularity.Report | None:
-        """Return the counts since the last call."""
+        """Return the token counts of experts since the last call."""
         return None
 
     @abc.abstractmethod
@@ -168,6 +168,7 @@
             self._fence = max(known, self._fence or 0)
 
     def _check(self, order: map_orders.Order) -> map_orders.Refusal:
+        """Return why an order is refused; record its fence and sequence."""
         if self._fence is None:
             return map_orders.Refusal.FENCE_UNKNOWN
         if order.fence < self._fence:
--- a/marigoldramp/map_reconciliation.py
+++ b/marigoldramp/map_reconciliation.py
@@ -1,8 +1,8 @@
 """Brings all ranks of a group to one map, whatever state they are in.
 
 The loop reads the states of all ranks, carries out what :mod:`.map_decisions`
-(or :mod:`.map_decisions_unfenced`) decides, and reads them again.  It runs
-when a leader starts and after each map change.
+(or :mod:`.map_decisions_unfenced`) decides, and reads them again.  A leader
+runs it when it starts, at each poll and after each map change.
 """
 
 import dataclasses
@@ -44,8 +44,8 @@
     :ivar retry_seconds: between two attempts at something that failed.
     :ivar contend_seconds: between two attempts to take a lease that another
         process holds; each costs a call to the platform's store.
-    :ivar lead_steps: how far ahead of the group the hold is placed.  Too
-        few and the group waits for the change; too many delay it only.
+    :ivar lead_steps: how far ahead of the group the hold is placed.  With
+        too few steps the group waits for the change; too many only delay it.
     """
 
     poll_seconds: float = 1.0
@@ -178,9 +178,9 @@
     ) -> Failure | None:
         """Arm a map on the ranks that have not armed it yet.
 
-        A rank refuses if it is copying a newer map, which its report does not
-        show.  The group would then wait forever, so the rank is given a
-        version that its report does show.
+        A rank refuses if it is copying a newer map.  Its report does not show
+        that map, so the rank would be asked again forever while the group
+        waits; it is therefore given a version that its report does show.
         """
         order = map_orders.Arm(
             version=decision.version, from_step=decision.from_step
--- a/marigoldramp/rank_engines.py
+++ b/marigoldramp/rank_engines.py
@@ -17,7 +17,7 @@
 from . import popularity
 
 CONNECT_SECONDS = 1.0
-ACCEPTED = 200
+OK_STATUS = 200
 
 T = TypeVar('T')
 
@@ -66,10 +66,10 @@
 class HttpRankEngine(map_ranks.RankEngine):
     """The engine of one rank.
 
-    There is no timeout for the response to an order.  With one, the order
-    could take effect later, after a newer leader was answered with a state
-    that it changes.  A frozen engine therefore blocks its agent's orders; one
-    that has died closes the connection and forgets all orders.
+    There is no timeout for the response to an order.  After a timeout the
+    order could still take effect, and a newer leader could already have been
+    told the state before it.  A frozen engine therefore blocks its agent's
+    orders; one that has died closes the connection and forgets all orders.
     """
 
     def __init__(self, *, host: str, port: int, rank: int) -> None:
@@ -90,7 +90,7 @@
         return _decode(reply, expert_maps.ExpertMap)
 
     async def fetch_report(self) -> popularity.Report | None:
-        """Return the counts since the last call."""
+        """Return the token counts of experts since the last call."""
         path = f'{self._path}/report'
         reply = await self._exchange('GET', path, b'')
         return _decode(reply, popularity.Report)
@@ -175,7 +175,7 @@
             return None
         finally:
             await opened.aclose()
-        return _Reply(accepted=response.status == ACCEPTED, body=content)
+        return _Reply(accepted=response.status == OK_STATUS, body=content)
 
 
 class _Reply(msgspec.Struct, frozen=True, kw_only=True):
--- a/marigoldramp/rank_groups.py
+++ b/marigoldramp/rank_groups.py
@@ -109,7 +109,7 @@
 
 
 class RankGroup:
-    """Serves one agent's ranks and leads their group when it may.
+    """Serves one agent's ranks; leads their group while holding its lease.
 
     :param name: the group's name.
     :param list_instances: returns the instance list as it was last read.
@@ -211,7 +211,7 @@
         )
 
     async def _count(self) -> map_orders.Reply:
-        """Return the merged counts of this agent's ranks."""
+        """Return the merged token counts of this agent's ranks."""
         fetched = [await one.fetch_report() for one in self._engines.values()]
         reports = [one for one in fetched if one is not None]
         self._report_count += 1
@@ -228,7 +228,7 @@
         )
 
     async def collect(self) -> tuple[planner.AgentReports, ...]:
-        """Return the counts of the ranks of all agents of the group.
+        """Return the token counts of all agents of the group.
 
         An agent that does not answer is left out; the estimate continues
         without it.
--- a/tests/map_model.py
+++ b/tests/map_model.py
@@ -71,15 +71,16 @@
     :ivar view: the state of each rank as it was inspected, ``None`` before.
     :ivar pending_orders: orders to send, each with its rank, in any order.
     :ivar phase: what follows when all of them are answered.
-    :ivar named_maps: how many maps it has named.
+    :ivar named_maps: how many maps it has given a version.
     :ivar changes: how many changes it has started.
-    :ivar inspected: all ranks have adopted its fence, where they check them.
+    :ivar inspected: all ranks have adopted its fence, where ranks check it.
     :ivar dropped: for each rank the last prepared map that it has undone.
     :ivar ended: it has been deposed or has run out of versions.
     :ivar released: for each rank the last step whose hold it ended.
     :ivar epochs: the epoch of each rank at its last inspection.
-    :ivar seen_from: for each rank, how many of its past states the last
-        inspection or order has outdated; used where reports lag.
+    :ivar seen_from: for each rank, how many of its oldest states can no
+        longer be reported, as an inspection or an order has outdated them;
+        used where reports lag.
     """
 
     view: tuple[Rank | None, ...]
@@ -103,7 +104,7 @@
     :ivar losses: how many more orders may be left without an answer.
     :ivar unlisted: ranks whose listing has lapsed.
     :ivar lapses: how many more listings may lapse.
-    :ivar reforms: how many more times the group may restart.
+    :ivar group_restarts: how many more times the group may restart.
     :ivar past: all states that each rank has had, the present one last;
         kept where reports lag.
     """
@@ -115,7 +116,7 @@
     losses: int
     unlisted: frozenset[int] = frozenset()
     lapses: int = 0
-    reforms: int = 0
+    group_restarts: int = 0
     past: tuple[tuple[Rank, ...], ...] = ()
 
 
@@ -130,7 +131,7 @@
     :ivar timed: a rank is held once the time of the loads has passed, even if
         some ranks are still loading.
     :ivar lapses: how often the listing of a rank may lapse.
-    :ivar reforms: how often the group may restart.
+    :ivar group_restarts: how often the group may restart.
     :ivar hold_one_rank: all leaders hold the same rank, and alternate between
         odd and even steps.
     :ivar reports_lag: a report shows any state since the leader's last order.
@@ -146,7 +147,7 @@
     losses: int = 1
     timed: bool = False
     lapses: int = 0
-    reforms: int = 0
+    group_restarts: int = 0
     reports_lag: bool = False
     hold_one_rank: bool = False
     disabled_guard: str = ''
@@ -162,7 +163,7 @@
         )
         return State(
             lapses=self.lapses,
-            reforms=self.reforms,
+            group_restarts=self.group_restarts,
             past=((Rank(),),) * self.ranks if self.reports_lag else (),
             step=0,
             ranks=(Rank(),) * self.ranks,
@@ -180,9 +181,9 @@
 
     # Ranks
 
-    def obey(self, state, leader, number, order, epoch):
+    def obey(self, state, leader, rank_number, order, epoch):
         """Return the rank after an order, ``None`` if it refuses."""
-        rank = state.ranks[number]
+        rank = state.ranks[rank_number]
         if self.fenced and rank.fence > self.fence(leader):
             return None
         if rank.epoch != epoch:
@@ -250,7 +251,7 @@
         )
         return self._record_past(state._replace(step=step, ranks=ranks))
 
-    def reform_group(self, state, crashed):
+    def restart_group(self, state, crashed):
         """Return the state after the group has restarted.
 
         The rank that crashed has forgotten its versions and its fence.
@@ -264,7 +265,9 @@
             for number, rank in enumerate(state.ranks)
         )
         return self._record_past(
-            state._replace(ranks=ranks, reforms=state.reforms - 1)
+            state._replace(
+                ranks=ranks, group_restarts=state.group_restarts - 1
+            )
         )
 
     def _record_past(self, state):
@@ -324,25 +327,26 @@
                     unlisted=state.unlisted | {number},
                     lapses=state.lapses - 1,
                 )
-            if state.reforms:
-                yield self.reform_group(state, number)
+            if state.group_restarts:
+                yield self.restart_group(state, number)
 
-    def _apply_order(self, state, leader, number, rank):
+    def _apply_order(self, state, leader, rank_number, rank):
         """Replace a rank that obeyed an order.
 
         Where ranks check fences, older copies of orders are now ineffective.
         """
-        state = self._record_past(_replace_rank(state, number, rank))
+        state = self._record_past(_replace_rank(state, rank_number, rank))
         if not self.fenced or self.disabled_guard == 'tokens':
             return state
         late = frozenset(
             one
             for one in state.late
-            if one.rank != number or self._outranks(one.leader, leader)
+            if one.rank != rank_number
+            or self._may_have_higher_token(one.leader, leader)
         )
         return state._replace(late=late)
 
-    def _outranks(self, late, leader):
+    def _may_have_higher_token(self, late, leader):
         """Return whether a late order may have a higher token.
 
         Leaders with the same fence number their orders independently, so a
@@ -354,8 +358,8 @@
 
     def _leader_successors(self, state, number, leader):
         if leader.pending_orders:
-            for place, (rank, order) in enumerate(leader.pending_orders):
-                yield from self._send(state, number, leader, place)
+            for index, (rank, order) in enumerate(leader.pending_orders):
+                yield from self._send(state, number, leader, index)
             return
         if leader.phase[0] == 'inspect' and not self._is_inspected(leader):
             if self.fenced and not leader.inspected:
@@ -380,7 +384,7 @@
         past = (state.ranks[rank],)
         if self.reports_lag:
             past = state.past[rank][leader.seen_from[rank] :]
-        for place, seen in enumerate(reversed(past)):
+        for index, seen in enumerate(reversed(past)):
             if seen.epoch != leader.epochs[rank]:
                 epochs = _replace_at(leader.epochs, rank, seen.epoch)
                 released = _replace_at(leader.released, rank, 0)
@@ -393,7 +397,7 @@
             seen_from = leader.seen_from
             if self.reports_lag:
                 # Later reports show no state before this one.
-                shown = len(state.past[rank]) - 1 - place
+                shown = len(state.past[rank]) - 1 - index
                 seen_from = _replace_at(
                     seen_from, rank, max(seen_from[rank], shown)
                 )
@@ -423,10 +427,10 @@
     def _is_inspected(self, leader):
         return all(one is not None for one in leader.view)
 
-    def _send(self, state, number, leader, place):
-        rank, order = leader.pending_orders[place]
+    def _send(self, state, number, leader, index):
+        rank, order = leader.pending_orders[index]
         rest = (
-            leader.pending_orders[:place] + leader.pending_orders[place + 1 :]
+            leader.pending_orders[:index] + leader.pending_orders[index + 1 :]
         )
         leader = self._note_release(leader, rank, order)
         state = _replace_leader(state, number, leader)
@@ -565,8 +569,8 @@
         else:
             view = tuple(
                 one
-                for place, one in enumerate(view)
-                if self._receives_orders(state, place)
+                for index, one in enumerate(view)
+                if self._receives_orders(state, index)
             )
         if self.timed:
             pass
@@ -736,8 +740,8 @@
         )
 
 
-def _replace_at(row, place, value):
-    return row[:place] + (value,) + row[place + 1 :]
+def _replace_at(row, index, value):
+    return row[:index] + (value,) + row[index + 1 :]
 
 
 def _replace_rank(state, number, rank):
@@ -839,28 +843,28 @@
     before = [-1]
     edges: list[list[int]] = [[]]
     ends = []
-    place = 0
-    while place < len(states):
-        state = states[place]
+    index = 0
+    while index < len(states):
+        state = states[index]
         if has_mixed_maps(state):
             return Result(
                 states=len(states),
-                mixed=_trace(states, before, place),
+                mixed=_trace(states, before, index),
                 deadlocked=0,
             )
         if state.step == rules.max_step:
-            ends.append(place)
-            place += 1
+            ends.append(index)
+            index += 1
             continue
         for found in rules.successors(state):
             number = numbers.get(found)
             if number is None:
                 number = numbers[found] = len(states)
                 states.append(found)
-                before.append(place)
+                before.append(index)
                 edges.append([])
-            edges[number].append(place)
-        place += 1
+            edges[number].append(index)
+        index += 1
     return Result(
         states=len(states),
         mixed=[],
@@ -868,11 +872,11 @@
     )
 
 
-def _trace(states, before, place):
+def _trace(states, before, index):
     history = []
-    while place >= 0:
-        history.append(states[place])
-        place = before[place]
+    while index >= 0:
+        history.append(states[index])
+        index = before[index]
     return history[::-1]
 
 
--- a/tests/test_map_leader.py
+++ b/tests/test_map_leader.py
@@ -67,7 +67,7 @@
     one takes over; the paused one resumes.
     Cause: a step assumes that a leader is still the leader.
     """
-    run_row(step, fault, checks_fence=checks_fence)
+    run_with_fault(step, fault, checks_fence=checks_fence)
 
 
 @pytest.mark.parametrize('agent', ['agent-0', 'agent-1'])
@@ -80,7 +80,7 @@
     or the reply is lost, or the order is duplicated or delayed.
     Cause: a step assumes that an order did or did not take effect.
     """
-    run_row(step, fault, agent=agent)
+    run_with_fault(step, fault, agent=agent)
 
 
 @pytest.mark.parametrize('checks_fence', [False, True])
@@ -114,7 +114,7 @@
         network.close()
 
 
-def run_row(step, fault, checks_fence=False, agent=None):
+def run_with_fault(step, fault, checks_fence=False, agent=None):
     network = make_network(
         checks_fence=checks_fence, traps=[(step, fault)], steps_a_round=3
     )
@@ -212,8 +212,10 @@
     finish(network)
 
 
-@pytest.mark.parametrize('away', [False, True], ids=['store', 'no-store'])
-def test_agent_restarts_while_the_group_is_held(network, away):
+@pytest.mark.parametrize(
+    'store_down', [False, True], ids=['store', 'no-store']
+)
+def test_agent_restarts_while_the_group_is_held(network, store_down):
     """The group waits for as long as the store does not answer.
 
     Sequence: a rank is held; its agent restarts and knows no fence; the
@@ -223,7 +225,7 @@
     """
     network.traps[steps.Step.MAP_ARMED] = Fault.PAUSE
     assert network.run_fairly(rounds=60, until=lambda: network.trapped)
-    if away:
+    if store_down:
         network.store_out()
     network.start_agent('agent-0')
     network.paused.clear()
--- a/tests/test_map_model.py
+++ b/tests/test_map_model.py
@@ -8,7 +8,7 @@
     'rules',
     [
         pytest.param(
-            map_model.Rules(fenced=False, losses=0), id='late by leaders only'
+            map_model.Rules(fenced=False, losses=0), id='only leaders are late'
         ),
         pytest.param(
             map_model.Rules(fenced=False, max_step=2), id='an order is late'
@@ -26,7 +26,7 @@
         ),
         pytest.param(
             map_model.Rules(fenced=False, losses=0, max_step=1, timed=True),
-            id='loads are timed, late by leaders only',
+            id='loads are timed, only leaders are late',
         ),
         pytest.param(
             map_model.Rules(fenced=True, leaders=1, losses=2, timed=True),
@@ -46,17 +46,17 @@
             map_model.Rules(
                 fenced=False, leaders=1, max_step=3, timed=True, lapses=1
             ),
-            id='an entry lapses, an order is late',
+            id='a listing lapses, an order is late',
         ),
         pytest.param(
             map_model.Rules(
                 fenced=True, leaders=1, max_step=3, timed=True, lapses=1
             ),
-            id='fenced, an entry lapses, an order is late',
+            id='fenced, a listing lapses, an order is late',
         ),
     ],
 )
-def test_one_map_in_every_pass_and_no_state_is_final(rules):
+def test_maps_never_mix_and_no_state_is_deadlocked(rules):
     """Two ranks use different maps in one step, or the group deadlocks.
 
     Sequence: orders are carried out, lost or delayed in any order, while an
@@ -80,7 +80,7 @@
             map_model.Rules(
                 fenced=False, max_step=3, disabled_guard='complete'
             ),
-            id='an armed map is given up, not completed',
+            id='an armed map is abandoned, not completed',
         ),
         pytest.param(
             map_model.Rules(
@@ -119,7 +119,7 @@
             map_model.Rules(
                 fenced=False, losses=0, max_step=2, disabled_guard='eras'
             ),
-            id='it does where ranks check none',
+            id='unfenced, a restored store gives a fence out again',
         ),
         pytest.param(
             map_model.Rules(
@@ -143,7 +143,7 @@
                 lapses=1,
                 disabled_guard='members',
             ),
-            id='it does where ranks check tokens',
+            id='fenced, a change leaves out ranks that are not listed',
         ),
         pytest.param(
             map_model.Rules(
@@ -173,7 +173,7 @@
     'max_step': 8,
     'lapses': 2,
     'reports_lag': True,
-    'reforms': 1,
+    'group_restarts': 1,
 }
 
 
--- a/tests/test_map_ranks.py
+++ b/tests/test_map_ranks.py
@@ -17,20 +17,20 @@
 HOLD = map_orders.Hold(rank=0, before_step=3)
 
 
-def make_ranks(fence=5, checks_fence=False):
+def make_handler(fence=5, checks_fence=False):
     stand_in = group.Group(ranks=2, checks_fence=checks_fence)
     stand_in.install(FIRST)
 
     async def learn():
         return fence
 
-    ranks = map_ranks.OrderHandler(
+    handler = map_ranks.OrderHandler(
         group='drafts',
         engines=stand_in.engines(),
         incarnation=7,
         learn_fence=learn,
     )
-    return stand_in, ranks
+    return stand_in, handler
 
 
 def make_order(body, fence=5, incarnation=7, sequence=1, name='drafts'):
@@ -82,8 +82,8 @@
     ],
 )
 async def test_refusals(known, order, refusal):
-    stand_in, ranks = make_ranks(fence=known)
-    reply = await ranks.handle(order)
+    stand_in, handler = make_handler(fence=known)
+    reply = await handler.handle(order)
     assert reply.refusal == refusal
     assert reply.incarnation == 7
     holds = order.body == HOLD and not refusal
@@ -99,7 +99,7 @@
     first order arrives.
     Cause: without sequence numbers the copy looks like a new order.
     """
-    stand_in, ranks = make_ranks(checks_fence=checks_fence)
+    stand_in, handler = make_handler(checks_fence=checks_fence)
     arm = map_orders.Arm(version=SECOND.version, from_step=3)
     bodies = [
         map_orders.Prepare(expert_map=SECOND),
@@ -108,8 +108,8 @@
         map_orders.Prepare(expert_map=SECOND),
     ]
     for sequence, body in enumerate(bodies, start=1):
-        reply = await ranks.handle(make_order(body, sequence=sequence))
+        reply = await handler.handle(make_order(body, sequence=sequence))
         assert reply.accepted
-    reply = await ranks.handle(make_order(arm, sequence=2))
+    reply = await handler.handle(make_order(arm, sequence=2))
     assert reply.refusal == 'sequence'
     assert stand_in.ranks[0].schedule.following is None
--- a/tests/test_rank_groups.py
+++ b/tests/test_rank_groups.py
@@ -126,8 +126,9 @@
                 tasks.start_soon(lead)
             await until(lambda: planner.done is not None)
             await until(
-                lambda: len({s.in_force.number for s in schedules(ranks)}) == 1
-                and schedules(ranks)[0].in_force.number == 2
+                lambda: len({s.in_force.number for s in list_schedules(ranks)})
+                == 1
+                and list_schedules(ranks)[0].in_force.number == 2
             )
             tasks.cancel_scope.cancel()
     assert planner.done is True
@@ -169,7 +170,7 @@
                 for one in made:
                     await one.resign()
             assert all(rank.hold_before is None for rank in ranks.ranks)
-            assert len({one.in_force for one in schedules(ranks)}) == 1
+            assert len({one.in_force for one in list_schedules(ranks)}) == 1
             lease = await platform.read(
                 key=store.Key(kind=leases.KIND, name='group-g')
             )
@@ -179,7 +180,7 @@
     assert ranks.mixed_steps == []
 
 
-def schedules(ranks):
+def list_schedules(ranks):
     return [rank.schedule for rank in ranks.ranks]
 
 
