--- a/marigoldramp/gateway/containment.py
+++ b/marigoldramp/gateway/containment.py
@@ -1,7 +1,7 @@
 """Keeps a request that ends endpoints from reaching more of them.
 
-Put together from the watch for ended endpoints, what is known of suspects,
-its exchange with peers, and the withdrawal of what is on its way.
+Combines the detection of ended endpoints, the table of suspects, its exchange
+with peers, and the withdrawal of blocked requests that are in progress.
 """
 
 import contextlib
@@ -23,17 +23,17 @@
 
 
 class Containment:
-    """What one entry does about requests under which endpoints end.
+    """Handles requests that may end endpoints, at one gateway.
 
-    :param instance: our own name.
+    :param instance: the name of this gateway's instance.
     :param pool: opens connections to endpoints.
     :param fetch: returns the suspects that a peer knows.
-    :param send_reports_now: has the next reports to peers sent at once.
-    :ivar suspects: what is known, here and elsewhere.
-    :ivar exchange: how others learn of it.
+    :param send_reports_now: sends the next reports to peers without delay.
+    :ivar suspects: the suspects known to this gateway.
+    :ivar exchange: exchanges suspects with peers.
     """
 
-    __slots__ = ('_ends', '_cancellations', 'suspects', 'exchange')
+    __slots__ = ('_detector', '_cancellations', 'suspects', 'exchange')
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         clock: Callable[[], float],
     ) -> None:
         self._cancellations = call_cancellations.CallCancellations()
-        self._ends = endpoint_ends.EndWatch(
+        self._detector = endpoint_ends.EndDetector(
             open_connection=lambda address, seconds: pool.open(
                 address=address, seconds=seconds
             ),
@@ -80,66 +80,72 @@
     def hold(
         self, call: calls.Call
     ) -> contextlib.AbstractContextManager[anyio.CancelScope]:
-        """Serve a call in a scope that ends when it is blocked."""
+        """Return a scope for a call that is cancelled if it gets blocked."""
         return self._cancellations.track(call)
 
     def decide(self, call: calls.Call) -> suspects.Decision:
-        """Return whether a call may be sent to an endpoint."""
+        """Decide whether a call may be sent to an endpoint."""
         return self.suspects.decide(call.fingerprint)
 
     def begin(
         self, call: calls.Call, endpoint: endpoints.Endpoint
     ) -> endpoint_ends.Run:
-        """Note that a call goes to an endpoint."""
+        """Record that a call is sent to an endpoint."""
         self.suspects.begin(call.fingerprint)
-        return self._ends.begin(call, endpoint)
+        return self._detector.begin(call, endpoint)
 
     def abandon(self, run: endpoint_ends.Run) -> None:
-        """Note that nobody waits any more for what an endpoint runs."""
+        """Record that nobody waits for the answer to a request any more."""
         self.suspects.finish(run.fingerprint)
-        self._ends.abandon(run)
+        self._detector.abandon(run)
 
     async def conclude(
         self, run: endpoint_ends.Run, result: attempts.Result
     ) -> attempts.Result:
-        """Learn from the result of an attempt, and return all of it."""
+        """Record the result of an attempt.
+
+        :returns: the result, with ``ended`` set if the endpoint has ended.
+        """
         self.suspects.finish(run.fingerprint)
         match result:
             case attempts.Broken(cut=True):
-                ended = await self._ends.lose(run)
+                ended = await self._detector.note_break(run)
                 return dataclasses.replace(result, ended=ended)
             case attempts.Unreached(refused=True):
-                self._ends.finish(run)
-                await self._ends.note_refused(run.endpoint)
+                self._detector.finish(run)
+                await self._detector.note_refused(run.endpoint)
             case attempts.Answer(framed=True) | attempts.Streamed(framed=True):
-                self._ends.finish(run)
+                self._detector.finish(run)
                 self._note_answer(run.fingerprint)
             case _:
-                self._ends.finish(run)
+                self._detector.finish(run)
         return result
 
     def release(self, fingerprint: str) -> bool:
-        """Let a request run again as an operator says; whether it was kept."""
+        """Let a request run again at the order of an operator.
+
+        :returns: whether it was a suspect.
+        """
         released = self.suspects.release(fingerprint)
         if released:
             self.exchange.note_change(fingerprint)
         return released
 
     def note_gone(self, identity: str) -> None:
-        """Note that an endpoint is listed no longer."""
-        self._ends.note_gone(identity)
+        """Record that an endpoint is listed no longer."""
+        self._detector.note_gone(identity)
 
     def note_restart(self, identity: str) -> None:
-        """Note that an endpoint has started anew under its name."""
-        self._ends.note_restart(identity)
+        """Record that an endpoint has been restarted under its identity."""
+        self._detector.note_restart(identity)
 
     def refresh(self) -> None:
-        """Act on what has been learnt, once word of others has come."""
+        """Start and end blocks by what has been reported."""
         self.suspects.refresh()
 
     def prune(self) -> None:
-        """Forget what matters no longer."""
-        self._ends.prune()
+        """Forget requests and suspects that no longer matter."""
+        self._detector.prune()
         self.suspects.prune()
 
     def _note_end(self, end: endpoint_ends.End) -> None:
--- a/marigoldramp/gateway/endpoint_ends.py
+++ b/marigoldramp/gateway/endpoint_ends.py
@@ -1,10 +1,10 @@
-"""Notices that the process of an endpoint has ended, and what it was running.
+"""Detects that the process of an endpoint has ended, and what it was running.
 
-A connection that breaks tells of one request only: an endpoint that lives can
-break off an answer, and when one rank of a group ends, all others reset what
-they have.  An endpoint whose port refuses a new connection right after it has
-broken one is no more.  One whose instance is dead refuses nothing; that it has
-ended shows when it is listed no longer, or as another start.
+A broken connection alone does not prove it: a live endpoint can break off an
+answer, and when one rank of a group ends, all others reset their connections.
+The process has ended if its port refuses a new connection right after one
+broke.  If the whole instance is down, nothing refuses connections; the end
+then shows when the endpoint is listed no longer or has been restarted.
 """
 
 import collections
@@ -21,26 +21,29 @@
 from . import endpoints
 from . import outbound
 
-#: Seconds within which a port answers a new connection.  Whoever has lost a
-#: request waits so long at most before it is sent elsewhere.
-CHECK_SECONDS = 0.2
-#: Seconds for which other connections may break after the first one, as
-#: packets of different connections overtake each other, and an ending process
-#: closes its port and its connections one after the other.
-BREAK_SECONDS = 0.02
-#: Connections that are opened to find out whether somebody listens.
-CHECKS = 2
-#: Seconds for which a lost request is kept, to be counted once its endpoint
-#: turns out to have ended: until an endpoint that says nothing is listed no
-#: longer, three of its heartbeats and the list's own lag.
-KEPT_SECONDS = 6.0
-#: Seconds for which it counts where a port tells, which it does at once.
-RECENT_SECONDS = 1.0
+#: Timeout of a connection that is opened as a check.  A request whose
+#: connection broke waits for the check before it is sent elsewhere.
+CHECK_TIMEOUT_SECONDS = 0.2
+#: Seconds within which all connections of an ending process break: it closes
+#: its port and its connections one after the other, and packets of different
+#: connections overtake each other.
+BREAK_WINDOW_SECONDS = 0.02
+#: Limit of connections that are opened for one check.
+MAX_CHECKS = 2
+#: Seconds for which a lost request is remembered in case its endpoint turns
+#: out to have ended.  An unresponsive endpoint is listed until it has missed
+#: three heartbeats, and the list itself lags.
+RETENTION_SECONDS = 6.0
+#: The same if the end shows by a refused connection, which it does at once.
+REFUSED_WINDOW_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Start:
-    """One start of an endpoint."""
+    """Identifies one process of an endpoint, which may be restarted.
+
+    :ivar born: tells the processes of one endpoint apart.
+    """
 
     identity: str
     born: int
@@ -50,8 +53,7 @@
 class End:
     """The end of an endpoint's process.
 
-    :ivar fingerprints: of the requests that it was given and that got no
-        whole answer.
+    :ivar fingerprints: fingerprints of the requests that were running on it.
     """
 
     start: Start
@@ -60,11 +62,12 @@
 
 
 class Run:
-    """One request that was given to an endpoint.
+    """One request that was sent to an endpoint.
 
-    :ivar lost_at: when it got no whole answer.
-    :ivar expected: the endpoint was leaving by then, or had left: its end was
-        to come, and says nothing of what it had.
+    :ivar begun: when it was sent.
+    :ivar lost_at: when its connection broke or its caller left.
+    :ivar expected: whether the endpoint was shutting down or removed by then,
+        so that its end is not blamed on its requests.
     """
 
     __slots__ = (
@@ -88,45 +91,46 @@
         self.expected = False
 
 
-class _Trace:
-    """What is known of one start.
+class _ProcessState:
+    """The state of one process of an endpoint.
 
-    :ivar running: requests that it has.
-    :ivar lost: requests that it had, which got no whole answer.
-    :ivar silent: it has answered no new connection after it broke one.
-    :ivar checked: set when the check that goes on is over.
+    :ivar running: requests that run on it.
+    :ivar lost: requests that got no whole answer, oldest first.
+    :ivar unresponsive: whether a new connection timed out after one broke.
+    :ivar ended: whether the process is known to have ended.
+    :ivar checked: set when the running check is done; ``None`` without one.
     """
 
-    __slots__ = ('running', 'lost', 'silent', 'ended', 'checked')
+    __slots__ = ('running', 'lost', 'unresponsive', 'ended', 'checked')
 
     def __init__(self) -> None:
         self.running: set[Run] = set()
         self.lost: collections.deque[Run] = collections.deque()
-        self.silent = False
+        self.unresponsive = False
         self.ended = False
         self.checked: anyio.Event | None = None
 
 
-Open = Callable[
+OpenConnection = Callable[
     [outbound.Address, float],
     Awaitable[outbound.Connection | outbound.Unreached],
 ]
 
 
-class EndWatch:
-    """Watches the endpoints to which this entry has given requests.
+class EndDetector:
+    """Detects ends of the endpoints that this gateway has sent requests to.
 
-    :param open_connection: opens a connection within some seconds.
-    :param on_end: called when an endpoint has ended, and once more for each
-        request that turns out later to have been lost by that.
+    :param open_connection: opens a connection with a timeout in seconds.
+    :param on_end: called when an endpoint has ended, and again for requests
+        on it whose connections break later.
     """
 
-    __slots__ = ('_open', '_on_end', '_metrics', '_clock', '_traces')
+    __slots__ = ('_open', '_on_end', '_metrics', '_clock', '_states')
 
     def __init__(
         self,
         *,
-        open_connection: Open,
+        open_connection: OpenConnection,
         on_end: Callable[[End], None],
         metrics: metrics_module.Metrics,
         clock: Callable[[], float],
@@ -135,130 +139,132 @@
         self._on_end = on_end
         self._metrics = metrics
         self._clock = clock
-        self._traces: dict[Start, _Trace] = {}
+        self._states: dict[Start, _ProcessState] = {}
 
     def begin(self, call: calls.Call, endpoint: endpoints.Endpoint) -> Run:
-        """Note that an endpoint is given a request."""
+        """Record that a request is sent to an endpoint."""
         run = Run(
             fingerprint=call.fingerprint,
             endpoint=endpoint,
             begun=self._clock(),
         )
-        self._trace(run.start).running.add(run)
+        self._get_state(run.start).running.add(run)
         return run
 
     def finish(self, run: Run) -> None:
-        """Note a request that got its answer, or was never begun."""
-        self._trace(run.start).running.discard(run)
+        """Record that a request was answered or never started."""
+        self._get_state(run.start).running.discard(run)
 
     def abandon(self, run: Run) -> None:
-        """Note a request whose answer nobody waits for any more."""
-        trace = self._trace(run.start)
-        trace.running.discard(run)
+        """Record that nobody waits for the answer to a request any more."""
+        state = self._get_state(run.start)
+        state.running.discard(run)
         run.lost_at = self._clock()
-        run.expected = run.endpoint.record.leaving or run.endpoint.gone
-        trace.lost.append(run)
+        run.expected = run.endpoint.record.leaving or run.endpoint.is_removed
+        state.lost.append(run)
 
-    async def lose(self, run: Run) -> bool:
-        """Note a request whose connection broke.
+    async def note_break(self, run: Run) -> bool:
+        """Record that the connection of a request broke, and run a check.
 
         :returns: whether its endpoint is known to have ended.
         """
         self.abandon(run)
-        trace = self._trace(run.start)
-        if trace.ended:
-            self._tell(run.start, trace, oldest=run.lost_at)
+        state = self._get_state(run.start)
+        if state.ended:
+            self._report_lost(run.start, state, oldest=run.lost_at)
             return True
-        if trace.checked is not None:
-            await trace.checked.wait()
-            return trace.ended
-        trace.checked = anyio.Event()
+        if state.checked is not None:
+            await state.checked.wait()
+            return state.ended
+        state.checked = anyio.Event()
         try:
-            await self._check(run, trace)
+            await self._check(run, state)
         finally:
-            trace.checked.set()
-            trace.checked = None
-        return trace.ended
+            state.checked.set()
+            state.checked = None
+        return state.ended
 
     async def note_refused(self, endpoint: endpoints.Endpoint) -> None:
-        """Note that an endpoint's port has refused a connection."""
+        """Record that an endpoint's port has refused a connection."""
         record = endpoint.record
         start = Start(identity=record.identity, born=record.born)
-        trace = self._traces.get(start)
-        if trace is not None and not trace.ended and trace.lost:
-            await self._settle(trace.lost[-1], trace)
+        state = self._states.get(start)
+        if state is not None and not state.ended and state.lost:
+            await self._confirm_refusal(state.lost[-1], state)
 
     def note_gone(self, identity: str) -> None:
-        """Note that an endpoint is listed no longer.
+        """Record that an endpoint is listed no longer.
 
-        One that leaves as planned is, too, so only one that had already
-        fallen silent has ended by that.
+        The same happens after a planned shutdown, so this counts as an end
+        only if the endpoint was unresponsive before.
         """
-        for start, trace in self._find(identity):
-            if trace.silent and not trace.ended:
-                self._end(start, trace, 'gone', KEPT_SECONDS)
+        for start, state in self._list_states(identity):
+            if state.unresponsive and not state.ended:
+                self._end(start, state, 'gone', RETENTION_SECONDS)
 
     def note_restart(self, identity: str) -> None:
-        """Note that an endpoint has started anew under its name."""
-        for start, trace in self._find(identity):
-            if not trace.ended:
-                self._end(start, trace, 'restarted', KEPT_SECONDS)
+        """Record that an endpoint has been restarted under its identity."""
+        for start, state in self._list_states(identity):
+            if not state.ended:
+                self._end(start, state, 'restarted', RETENTION_SECONDS)
 
     def prune(self) -> None:
-        """Forget what can tell nothing any more."""
-        oldest = self._clock() - KEPT_SECONDS
-        for start, trace in list(self._traces.items()):
-            while trace.lost and trace.lost[0].lost_at < oldest:
-                trace.lost.popleft()
-            if not trace.running and not trace.lost:
-                del self._traces[start]
-
-    def _trace(self, start: Start) -> _Trace:
-        return self._traces.setdefault(start, _Trace())
-
-    def _find(self, identity: str) -> list[tuple[Start, _Trace]]:
+        """Forget lost requests and processes that no longer matter."""
+        oldest = self._clock() - RETENTION_SECONDS
+        for start, state in list(self._states.items()):
+            while state.lost and state.lost[0].lost_at < oldest:
+                state.lost.popleft()
+            if not state.running and not state.lost:
+                del self._states[start]
+
+    def _get_state(self, start: Start) -> _ProcessState:
+        return self._states.setdefault(start, _ProcessState())
+
+    def _list_states(self, identity: str) -> list[tuple[Start, _ProcessState]]:
         return [
-            (start, trace)
-            for start, trace in self._traces.items()
+            (start, state)
+            for start, state in self._states.items()
             if start.identity == identity
         ]
 
-    async def _check(self, run: Run, trace: _Trace) -> None:
-        """Find out whether an endpoint still listens."""
-        for _ in range(CHECKS):
-            found = await self._open(run.endpoint.address, CHECK_SECONDS)
+    async def _check(self, run: Run, state: _ProcessState) -> None:
+        """Check whether an endpoint still listens on its port."""
+        for _ in range(MAX_CHECKS):
+            found = await self._open(
+                run.endpoint.address, CHECK_TIMEOUT_SECONDS
+            )
             match found:
                 case outbound.Unreached(refused=True):
-                    await self._settle(run, trace)
+                    await self._confirm_refusal(run, state)
                     return
                 case outbound.Unreached():
-                    trace.silent = True
+                    state.unresponsive = True
                     return
                 case outbound.Connection():
-                    if await found.stays_open(BREAK_SECONDS):
+                    if await found.stays_open(BREAK_WINDOW_SECONDS):
                         return
 
-    async def _settle(self, run: Run, trace: _Trace) -> None:
-        """Believe that an endpoint has ended, unless something still runs.
+    async def _confirm_refusal(self, run: Run, state: _ProcessState) -> None:
+        """Treat a refused connection as an end unless a request still runs.
 
-        One that has as many connections as it takes may refuse a further one;
-        those that it has go on.
+        An endpoint at its limit of connections may refuse a further one while
+        the open ones continue.
         """
         refused_at = self._clock()
-        if trace.running:
-            await anyio.sleep(BREAK_SECONDS)
-        goes_on = any(one.begun < refused_at for one in trace.running)
-        if not goes_on and not trace.ended:
-            self._end(run.start, trace, 'refused', RECENT_SECONDS)
+        if state.running:
+            await anyio.sleep(BREAK_WINDOW_SECONDS)
+        is_alive = any(one.begun < refused_at for one in state.running)
+        if not is_alive and not state.ended:
+            self._end(run.start, state, 'refused', REFUSED_WINDOW_SECONDS)
 
     def _end(
-        self, start: Start, trace: _Trace, evidence: str, seconds: float
+        self, start: Start, state: _ProcessState, evidence: str, seconds: float
     ) -> None:
-        """Believe that an endpoint has ended.
+        """Record, log and report an end.
 
-        :param seconds: for which what it had lost before counts.
+        :param seconds: maximum age of the lost requests to report.
         """
-        trace.ended = True
+        state.ended = True
         self._metrics.count('endpoint_ends', evidence=evidence)
         logging.info(
             'endpoint ended',
@@ -266,19 +272,21 @@
                 endpoint=start.identity,
                 born=start.born,
                 evidence=evidence,
-                lost=len(trace.lost),
+                lost=len(state.lost),
             ),
         )
-        self._tell(start, trace, oldest=self._clock() - seconds)
+        self._report_lost(start, state, oldest=self._clock() - seconds)
 
-    def _tell(self, start: Start, trace: _Trace, *, oldest: float) -> None:
-        """Tell which requests an endpoint had when it ended."""
+    def _report_lost(
+        self, start: Start, state: _ProcessState, *, oldest: float
+    ) -> None:
+        """Report the requests that were running when an endpoint ended."""
         lost = [
             run
-            for run in trace.lost
+            for run in state.lost
             if run.lost_at >= oldest and not run.expected
         ]
-        trace.lost.clear()
+        state.lost.clear()
         if lost:
             self._on_end(
                 End(
--- a/marigoldramp/gateway/endpoints.py
+++ b/marigoldramp/gateway/endpoints.py
@@ -1,8 +1,8 @@
-"""The endpoints that this entry knows, and what it believes of each.
+"""The table of known endpoints and the choice of one for a request.
 
-Discovery says which there are.  How well each one works shows in the
-outcomes of requests: an endpoint that fails is left alone for a time that
-doubles with each failure in a row, and is then tried again.
+Discovery adds and removes endpoints.  Their health is taken from the outcomes
+of requests: an endpoint that fails gets no requests for a pause that doubles
+with each consecutive failure.
 """
 
 import collections
@@ -16,44 +16,44 @@
 from . import outbound
 from . import quality
 
-#: Seconds for which an endpoint is left alone after one failure, and the
-#: longest such time.
-FIRST_PAUSE = 0.25
-LONGEST_PAUSE = 4.0
-#: Seconds for which an endpoint counts as full after it has said so.
-FULL_SECONDS = 0.1
-#: Penalty of an endpoint in another data centre, in requests in flight.  Where
-#: a data centre has few endpoints it decides between equals only; where it has
-#: many, most requests stay there, which spares bytes between data centres, and
-#: fewer entries compete for each endpoint, whose reports come more often.
-REMOTE_PENALTY_OF_FEW = 0.05
-REMOTE_PENALTY_OF_MANY = 1.5
-#: Endpoints of a service in our own data centre that count as many.
-MANY_NEAR = 8
-#: Endpoints that are compared for one request, in our data centre and in all
-#: others.  What is known of the requests of other entries is a moment old;
-#: were all compared, many entries would choose the same few at once, seen as
-#: endpoints that decline while others are free.
-MOST_COMPARED = 16
+#: Pause after the first failure, and its limit after consecutive failures.
+MIN_PAUSE_SECONDS = 0.25
+MAX_PAUSE_SECONDS = 4.0
+#: Pause after an endpoint has declined a request because it is full.
+FULL_PAUSE_SECONDS = 0.1
+#: Penalty of an endpoint in another data centre, in requests in flight.  If
+#: the own data centre has few endpoints of the service, it only breaks ties.
+#: If it has many, most requests stay there: this saves traffic between data
+#: centres, and fewer gateways compete for each endpoint, whose reports come
+#: more often.
+REMOTE_PENALTY_SMALL = 0.05
+REMOTE_PENALTY_LARGE = 1.5
+#: Endpoints in the own data centre from which the larger penalty applies.
+MIN_LARGE_ENDPOINTS = 8
+#: Size of the random sample that is compared for one request, from all data
+#: centres and again from the own one.  The load that other gateways cause is
+#: known with a delay: if all endpoints were compared, many gateways would
+#: choose the same few at once, and these would decline while others are free.
+MAX_COMPARED_ENDPOINTS = 16
 #: Maximum number of removed endpoints whose backoffs are kept.
-MOST_KEPT_BACKOFFS = 1024
-#: Requests in flight for which a part of failures of 1 counts.
+MAX_KEPT_BACKOFFS = 1024
+#: Penalty of an error rate of 1, in requests in flight.
 ERROR_PENALTY = 6.0
 
 
 class Endpoint:
-    """One endpoint.
-
-    :ivar own_requests: requests of this entry that run on it.
-    :ivar suspects: how many of them are of each fingerprint under which an
-        endpoint has ended.
-    :ivar peer_requests: requests that other entries say run on it.
-    :ivar resting_until: it is given no requests before then.
-    :ivar backoff_until: end of the backoff that it requested; it is given no
-        requests before then.
-    :ivar failures: failures in a row.
-    :ivar quality: how well it does.
-    :ivar seconds: smoothed time for a whole request, 0 if unknown.
+    """The state of one endpoint.
+
+    :ivar own_requests: number of requests of this gateway that run on it.
+    :ivar suspects: how many of them are suspects, by fingerprint, see
+        :mod:`.suspects`.
+    :ivar peer_requests: number of requests on it that other gateways report.
+    :ivar resting_until: end of the pause after a failure or a refusal.
+    :ivar backoff_until: end of the backoff that the endpoint requested.
+    :ivar failures: number of consecutive failures.
+    :ivar quality: estimates of its latency and error rate.
+    :ivar seconds: smoothed duration of a whole request, 0 if unknown.
+    :ivar is_removed: whether it has been removed from the table.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
         'failures',
         'quality',
         'seconds',
-        'gone',
+        'is_removed',
     )
 
     def __init__(self, *, record: deployment.EndpointRecord) -> None:
@@ -79,65 +79,71 @@
         self.failures = 0
         self.quality = quality.Quality()
         self.seconds = 0.0
-        self.gone = False
+        self.is_removed = False
 
     @property
     def identity(self) -> str:
-        """The name of this start of the endpoint."""
+        """The name of the endpoint, which a restart keeps."""
         return self.record.identity
 
     @property
     def address(self) -> outbound.Address:
-        """Where it listens."""
+        """The address that it listens on."""
         return outbound.Address(host=self.record.host, port=self.record.port)
 
     @property
     def in_flight(self) -> int:
-        """Requests of all entries that run on it, as far as known."""
+        """The known number of requests of all gateways that run on it."""
         return self.own_requests + self.peer_requests
 
     def add_request(self, *, suspect: str) -> None:
-        """Give it a request, with its fingerprint if that is a suspect."""
+        """Count a request that is sent to it.
+
+        :param suspect: fingerprint of the request if it is a suspect, else
+            empty.
+        """
         self.own_requests += 1
         if suspect:
             self.suspects[suspect] += 1
 
     def remove_request(self, *, suspect: str) -> None:
-        """Note that it no longer has a request that it was given."""
+        """Count off a request that no longer runs on it."""
         self.own_requests -= 1
         if suspect:
             self.suspects[suspect] -= 1
             self.suspects += collections.Counter()
 
     def is_open(self, *, now: float) -> bool:
-        """Whether it may be given requests."""
-        # An endpoint in backoff is idle and would otherwise rank first.
+        """Whether it may be sent requests."""
+        # An endpoint in backoff is idle and would otherwise score best.
         return now >= self.opens_at
 
     @property
     def opens_at(self) -> float:
-        """When it may be given requests; infinite if leaving or gone."""
-        if self.record.leaving or self.gone:
+        """When it may be sent requests; infinite if leaving or removed."""
+        if self.record.leaving or self.is_removed:
             return float('inf')
         return max(self.resting_until, self.backoff_until)
 
     def note_success(self, *, seconds: float) -> None:
-        """A request came to a good end."""
+        """Record a request that succeeded and took some seconds."""
         self.failures = 0
         if self.seconds:
-            self.seconds += quality.SMOOTHING * (seconds - self.seconds)
+            self.seconds += quality.SMOOTHING_WEIGHT * (seconds - self.seconds)
         else:
             self.seconds = seconds
 
     def note_failure(self, *, now: float) -> None:
-        """A request failed by the endpoint's fault."""
+        """Record a failure of the endpoint and pause it."""
         self.failures += 1
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0 ** (self.failures - 1))
+        pause = min(
+            MAX_PAUSE_SECONDS, MIN_PAUSE_SECONDS * 2.0 ** (self.failures - 1)
+        )
         self.resting_until = max(self.resting_until, now + pause)
 
     def note_full(self, *, now: float) -> None:
-        """The endpoint has refused a request for want of room."""
-        self.resting_until = max(self.resting_until, now + FULL_SECONDS)
+        """Pause the endpoint after it declined a request for lack of room."""
+        self.resting_until = max(self.resting_until, now + FULL_PAUSE_SECONDS)
 
     def note_backoff(self, *, seconds: float, now: float) -> None:
         """Start or extend the backoff; a shorter one has no effect."""
@@ -145,9 +151,10 @@
 
 
 class EndpointTable:
-    """All endpoints, by service.
+    """All known endpoints, by identity and by service.
 
-    :param random: decides between equals.
+    :param data_centre: the data centre of this gateway.
+    :param random: samples endpoints and breaks ties.
     """
 
     __slots__ = (
@@ -174,7 +181,7 @@
         return len(self._by_identity)
 
     def find(self, identity: str) -> Endpoint | None:
-        """Return an endpoint by its name."""
+        """Return an endpoint by its identity."""
         return self._by_identity.get(identity)
 
     def list_for_service(self, service: str) -> list[Endpoint]:
@@ -182,10 +189,11 @@
         return list(self._by_service.get(service, {}).values())
 
     def put(self, record: deployment.EndpointRecord) -> None:
-        """Add an endpoint or change what is known of it.
+        """Add an endpoint or update its record.
 
-        Nothing that is believed of one start holds for the next one.  Its
-        requests that still run here give their places back to the old one.
+        A restarted endpoint gets a new :class:`Endpoint`, as the state of the
+        previous process does not apply to it.  Requests that were sent to the
+        previous process are still counted off the old object.
         """
         known = self._by_identity.get(record.identity)
         if known is not None and record.born > known.record.born:
@@ -206,11 +214,11 @@
         ] = known
 
     def remove(self, identity: str) -> Endpoint | None:
-        """Forget an endpoint; its requests in flight go on."""
+        """Remove an endpoint; its requests in flight continue."""
         known = self._by_identity.pop(identity, None)
         if known is None:
             return None
-        known.gone = True
+        known.is_removed = True
         self._by_service[known.record.service].pop(identity, None)
         self._keep_backoff(known)
         return known
@@ -218,12 +226,12 @@
     def _keep_backoff(self, removed: Endpoint) -> None:
         """Keep the backoff of a removed endpoint.
 
-        Its entry may lapse and come back before the backoff ends; without the
-        kept value it would be given requests during the backoff.
+        Its record may lapse and come back before the backoff ends; without
+        the kept value it would be sent requests during the backoff.
         """
         if not removed.backoff_until:
             return
-        if len(self._kept_backoffs) >= MOST_KEPT_BACKOFFS:
+        if len(self._kept_backoffs) >= MAX_KEPT_BACKOFFS:
             del self._kept_backoffs[next(iter(self._kept_backoffs))]
         start = removed.record.identity, removed.record.born
         self._kept_backoffs[start] = removed.backoff_until
@@ -237,13 +245,13 @@
         avoid: frozenset[str],
         suspect: str = '',
     ) -> Endpoint | None:
-        """Return the open endpoint with the most room, if one has any.
+        """Return the best open endpoint with a free slot, if there is one.
 
-        :param slots: returns how many requests an endpoint may run.
-        :param avoid: endpoints that are not to be used while there are
-            others.
-        :param suspect: fingerprint of a request under which an endpoint has
-            ended, see :func:`_choose_apart`.
+        :param slots: returns how many requests an endpoint may run at once.
+        :param avoid: identities of endpoints to use only if the service has
+            no others.
+        :param suspect: fingerprint of the request if it is a suspect, see
+            :func:`_choose_isolated`.
         """
         usual = self.find_median_seconds(service)
         known = self.list_without_slow_ranks(service, now=now)
@@ -258,41 +266,42 @@
             and endpoint.in_flight < slots(endpoint)
         ]
         if suspect:
-            return _choose_apart(suspect, found)
-        penalty = REMOTE_PENALTY_OF_FEW
+            return _choose_isolated(suspect, found)
+        penalty = REMOTE_PENALTY_SMALL
         compared = self._sample(found)
-        if sum(self._is_near(one) for one in known) >= MANY_NEAR:
-            penalty = REMOTE_PENALTY_OF_MANY
-            compared += self._sample(list(filter(self._is_near, found)))
+        if sum(self._is_local(one) for one in known) >= MIN_LARGE_ENDPOINTS:
+            penalty = REMOTE_PENALTY_LARGE
+            compared += self._sample(list(filter(self._is_local, found)))
         return min(
             compared,
-            key=lambda one: self._rank(one, slots(one), usual, now, penalty),
+            key=lambda one: self._score(one, slots(one), usual, now, penalty),
             default=None,
         )
 
-    def _is_near(self, endpoint: Endpoint) -> bool:
+    def _is_local(self, endpoint: Endpoint) -> bool:
         return endpoint.record.data_centre == self._data_centre
 
     def _sample(self, found: list[Endpoint]) -> list[Endpoint]:
-        if len(found) <= MOST_COMPARED:
+        if len(found) <= MAX_COMPARED_ENDPOINTS:
             return list(found)
-        return self._random.sample(found, MOST_COMPARED)
+        return self._random.sample(found, MAX_COMPARED_ENDPOINTS)
 
     def list_without_slow_ranks(
         self, service: str, *, now: float
     ) -> list[Endpoint]:
-        """Return the endpoints of a service that do not slow its group.
+        """Return the endpoints of a service, without slow ranks.
 
-        A request on a slow rank makes the passes of all requests longer.
-        Where half of the ranks are slow the others could not carry all, so
-        all are returned.
+        All ranks of a group compute each forward pass together, so a request
+        on a slow rank delays the requests on all others.  If half of the ranks
+        or more are slow, all are returned, as the others could not take the
+        whole load.
         """
         known = self.list_for_service(service)
         usual = [one for one in known if not one.quality.is_slow_rank(now=now)]
         return usual if 2 * len(usual) > len(known) else known
 
     def find_median_seconds(self, service: str) -> float:
-        """Return what endpoints of a service take to answer, 0 if unknown."""
+        """Return the median time to an answer of a service, 0 if unknown."""
         known = [
             one.quality.seconds
             for one in self._by_service.get(service, {}).values()
@@ -300,35 +309,37 @@
         ]
         return statistics.median_low(known) if known else 0.0
 
-    def _rank(
+    def _score(
         self,
         endpoint: Endpoint,
         room: float,
         usual: float,
         now: float,
-        remote: float,
+        remote_penalty: float,
     ) -> float:
-        """Return how long a request may take there; the least is best.
+        """Return the relative expected duration of a request; lowest is best.
 
-        :param remote: penalty of an endpoint in another data centre.
+        :param room: number of requests that the endpoint may run at once.
+        :param usual: median time to an answer of the service.
+        :param remote_penalty: penalty of an endpoint in another data centre.
         """
-        penalty = 0.0 if self._is_near(endpoint) else remote
+        penalty = 0.0 if self._is_local(endpoint) else remote_penalty
         penalty += ERROR_PENALTY * endpoint.quality.error_rate(now=now)
         penalty += self._random.random() * 0.1
         slowness = endpoint.quality.slowness(usual=usual, now=now)
         return (1.0 + endpoint.in_flight + penalty) * slowness / room
 
 
-def _choose_apart(suspect: str, found: list[Endpoint]) -> Endpoint | None:
-    """Return where to run a request under which an endpoint has ended.
+def _choose_isolated(suspect: str, found: list[Endpoint]) -> Endpoint | None:
+    """Return the endpoint to run a suspect on, if one has no other suspect.
 
-    Two such requests at one endpoint could not be told apart if it ended as
-    well.  And copies of one that several entries send at once would end an
-    endpoint each; by the order of their fingerprint they go to the same.
+    If an endpoint ended with two suspects on it, either could be the cause.
+    Copies of one suspect that several gateways send at once would end an
+    endpoint each, so rendezvous hashing sends them to the same one.
     """
-    apart = [one for one in found if not one.suspects.keys() - {suspect}]
+    isolated = [one for one in found if not one.suspects.keys() - {suspect}]
     return max(
-        apart,
+        isolated,
         key=lambda one: zlib.crc32(f'{suspect} {one.identity}'.encode()),
         default=None,
     )
--- a/marigoldramp/gateway/retry_budget.py
+++ b/marigoldramp/gateway/retry_budget.py
@@ -1,30 +1,30 @@
-"""The budget of repeated sends that all entries share without asking.
+"""The retry budget, which all gateways share without coordination.
 
-The operator bounds the sends beyond the first of each request, summed over
-all entries in any window: a share of the requests, and a fixed extra.  Each
-entry spends its share of its *own* requests, and the extra divided by the
-number of entries that may live.  Counting only entries that are heard would
-give both halves of a partition the whole extra.
+The operator limits the retries of all gateways together in any time window to
+a share of the requests plus a fixed extra.  Each gateway spends that share of
+its *own* requests, and the extra divided by the number of gateways that may be
+alive.  If only gateways within reach counted, both halves of a partition would
+spend the whole extra.
 """
 
 import collections
 import dataclasses
 from typing import Callable
 
-#: Part of the budget that is spent, for events at a window's edge and for
-#: entries that have come without being known yet.
-SPENT_SHARE = 0.75
-#: Entries added to those known when the extra is divided.
-UNKNOWN_ENTRIES = 1
+#: Part of the budget that may be spent.  The rest allows for events at the
+#: edges of a window and for new gateways that are not known yet.
+MAX_SPENT_SHARE = 0.75
+#: Number of unknown gateways that is assumed when the extra is divided.
+UNKNOWN_GATEWAYS = 1
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Bounds:
-    """The operator's bound.
+    """The operator's limit on retries.
 
-    :ivar ratio: sends beyond the first, as a share of the requests.
-    :ivar extra: sends beyond the first that are allowed besides, a window.
-    :ivar window: seconds.
+    :ivar ratio: retries as a share of the requests.
+    :ivar extra: further retries in each window.
+    :ivar window: length of a window in seconds.
     """
 
     ratio: float
@@ -33,7 +33,7 @@
 
 
 class _Window:
-    """Times of the events of the last few seconds."""
+    """Times of the events in a sliding window."""
 
     __slots__ = ('_times',)
 
@@ -50,12 +50,13 @@
 
 
 class RetryBudget:
-    """The part of one entry.
+    """The part of the budget that one gateway may spend.
 
-    :param entries: returns how many entries may live, this one included.
+    :param bounds: returns the limit in force.
+    :param entries: returns how many gateways may be alive, with this one.
     """
 
-    __slots__ = ('_bounds', '_entries', '_clock', '_requests', '_repeats')
+    __slots__ = ('_bounds', '_entries', '_clock', '_requests', '_retries')
 
     def __init__(
         self,
@@ -68,27 +69,27 @@
         self._entries = entries
         self._clock = clock
         self._requests: dict[str, _Window] = {}
-        self._repeats: dict[str, _Window] = {}
+        self._retries: dict[str, _Window] = {}
 
     def note_request(self, service: str) -> None:
         """Count a caller's request for a service."""
         self._requests.setdefault(service, _Window()).add(self._clock())
 
     def take(self, service: str) -> bool:
-        """Take the right to send a request once more, if there is one."""
+        """Spend one retry if the budget allows it, and return whether."""
         now = self._clock()
-        repeats = self._repeats.setdefault(service, _Window())
-        if repeats.count(since=now - self._bounds().window) + 1 > self._most(
-            service, now
-        ):
+        retries = self._retries.setdefault(service, _Window())
+        if retries.count(
+            since=now - self._bounds().window
+        ) + 1 > self._find_limit(service, now):
             return False
-        repeats.add(now)
+        retries.add(now)
         return True
 
-    def _most(self, service: str, now: float) -> float:
-        """Return the repeats that this entry may send in a window."""
+    def _find_limit(self, service: str, now: float) -> float:
+        """Return the number of retries that this gateway may send a window."""
         bounds = self._bounds()
         requests = self._requests.setdefault(service, _Window())
         own = requests.count(since=now - bounds.window)
-        entries = max(1, self._entries()) + UNKNOWN_ENTRIES
-        return SPENT_SHARE * (bounds.ratio * own + bounds.extra / entries)
+        entries = max(1, self._entries()) + UNKNOWN_GATEWAYS
+        return MAX_SPENT_SHARE * (bounds.ratio * own + bounds.extra / entries)
--- a/marigoldramp/gateway/suspects.py
+++ b/marigoldramp/gateway/suspects.py
@@ -1,17 +1,18 @@
-"""Requests under which endpoints have ended, and which of them may run.
-
-A request can end each endpoint that begins to run it: its process dies, and
-where it is a rank, its whole group runs nothing until it is back.  A caller
-that comes back with such a request takes down one endpoint after the other,
-and through any entry.  So what counts is not what one attempt or one entry
-knows, but what all of them have seen of the same caller and content.
-
-Any number of sound requests run beside such a one when an endpoint ends.  A
-first end blames all of them alike.  They are told apart by what comes next: a
-sound one is answered, which clears it, the other one ends a second endpoint.
-Where two have been under the same two ends, the third one decides; and what
-was answered not long before may be asked for so often that it is under every
-end.
+"""Tracks requests that may crash endpoints, and decides which may run.
+
+A request can crash each endpoint that starts to run it.  If the endpoint is a
+rank, its whole group is down until the rank has restarted.  A caller that
+retries such a request takes down one endpoint after another, through any
+gateway.  So gateways share what they have seen, by a fingerprint of the
+caller and the content.
+
+The process of an endpoint is said to end, and each request that was running
+on it becomes a suspect, as harmless requests run beside the harmful one.  The
+next events tell them apart: a harmless request is answered, which clears it;
+the harmful one ends a second endpoint and is blocked.  If two suspects were
+both running at the same two ends, a third end decides.  A request that was
+answered shortly before needs more ends still: it may be sent so often that it
+is running at every end.
 """
 
 import dataclasses
@@ -25,38 +26,40 @@
 from .. import logs
 from . import endpoint_ends
 
-#: Seconds for which an answer says that a request is sound, and requests of
-#: which that is remembered; 200 bytes each.
-SOUND_SECONDS = 600.0
-MOST_SOUND = 4096
-#: Seconds after an end within which others have told what they had there.
+#: Seconds for which an answer suggests that a request is harmless, and the
+#: number of requests for which this is remembered, at 200 bytes each.
+RECENT_ANSWER_SECONDS = 600.0
+MAX_RECENT_ANSWERS = 4096
+#: Seconds after an end within which the other gateways have reported which
+#: requests they had on that endpoint.
 PEER_REPORT_SECONDS = 0.1
-#: Seconds for which a request is blocked at first, twice as long after each
-#: further end, and at most: what mends such a request is a release of the
-#: endpoints' software.
-FIRST_BLOCK_SECONDS = 600.0
-LONGEST_BLOCK_SECONDS = 86400.0
-#: Seconds for which an end is remembered that has blocked nothing.
-KEPT_SECONDS = 600.0
-#: Seconds after which a caller is to come back that could be the trial of a
-#: request, were it not at another entry or behind another trial.
-TRIAL_RETRY_AFTER = 5.0
-#: Suspects that are remembered; 64 bytes each and 24 for each end.
-MOST_SUSPECTS = 512
-#: Ends of one suspect that are remembered.
-MOST_ENDS = 8
+#: First and longest duration of a block, which doubles with each further end.
+#: The limit is long as only a new release of the endpoints' software makes
+#: such a request harmless.
+MIN_BLOCK_SECONDS = 600.0
+MAX_BLOCK_SECONDS = 86400.0
+#: Seconds for which a suspect is remembered, in addition to twice the duration
+#: of its block.
+RETENTION_SECONDS = 600.0
+#: Retry-After for a request whose block is over, while another gateway is the
+#: one to probe it or another probe is running.
+PROBE_RETRY_AFTER_SECONDS = 5.0
+#: Limit of remembered suspects, at 64 bytes each and 24 for each end.
+MAX_SUSPECTS = 512
+#: Limit of remembered ends of one suspect.
+MAX_ENDS_PER_SUSPECT = 8
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Thresholds:
-    """How many endpoints end under a request until it is blocked.
+    """The number of ends after which a request is blocked.
 
-    Counted are ends since its last answer.
+    Only ends since its last answer or release count.
 
-    :ivar unshared: where nothing else explains them; one can end by chance.
-    :ivar shared: where another request has been under all of them.
-    :ivar recently_answered: where it was answered not long before the first of
-        them.
+    :ivar unshared: if no other suspect was running at all of these ends.  A
+        single end may be a coincidence.
+    :ivar shared: if another suspect was running at all of them.
+    :ivar recently_answered: if it was answered shortly before the first one.
     """
 
     unshared: int = 2
@@ -65,7 +68,11 @@
 
 
 class EndAge(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The end of one start of an endpoint, and the seconds since."""
+    """The end of an endpoint's process.
+
+    :ivar start: a hash that identifies the process, see :func:`_hash_start`.
+    :ivar age: seconds since the end.
+    """
 
     start: int
     age: float
@@ -74,12 +81,12 @@
 class SuspectRecord(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True
 ):
-    """What an entry knows of a suspect, as it tells others.
+    """The state of a suspect, as gateways exchange it.
 
-    :ivar answered_age: seconds since an endpoint has answered it, negative
-        for never.
-    :ivar released_age: seconds since an operator has released it, negative
-        for never.
+    :ivar answered_age: seconds since an endpoint answered it, negative for
+        never.
+    :ivar released_age: seconds since an operator released it, negative for
+        never.
     """
 
     fingerprint: str
@@ -91,10 +98,11 @@
 class SuspectDigest(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True
 ):
-    """What an entry knows of requests that may have to be blocked, in short.
+    """A digest of the suspects with enough ends to be blocked.
 
-    :ivar known: how many there are.
-    :ivar check: the same at entries that know the same of them.
+    :ivar known: the number of these suspects.
+    :ivar check: a checksum of their fingerprints and ends, by which gateways
+        notice that they know different ones.
     """
 
     known: int = 0
@@ -104,10 +112,10 @@
 class SuspectUpdate(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True
 ):
-    """What one report says of suspects.
+    """The part of a report to peers that is about suspects.
 
-    :ivar digest: of all that its sender knows.
-    :ivar suspicions: what it has learnt lately.
+    :ivar digest: digest of all suspects that the sender knows.
+    :ivar suspicions: suspects whose state changed recently.
     """
 
     digest: SuspectDigest = SuspectDigest()
@@ -116,20 +124,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Allowed:
-    """Nothing speaks against a request."""
+    """The request is no suspect and may run anywhere."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Suspected:
-    """A request may run, but apart from other suspects."""
+    """The request may run, but only on an endpoint without other suspects."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Blocked:
-    """A request is sent nowhere.
+    """The request may not be sent to any endpoint.
 
-    :ivar ends: endpoints that have ended under it.
-    :ivar seconds: after which it may be tried again.
+    :ivar ends: number of ends that count against it.
+    :ivar seconds: time after which it may be sent again.
     """
 
     ends: int
@@ -138,9 +146,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Undecided:
-    """Word of other entries decides whether a request is blocked.
+    """Reports of other gateways are still to decide on the request.
 
-    :ivar seconds: after which it will have come.
+    :ivar seconds: time after which they will have arrived.
     """
 
     seconds: float
@@ -150,10 +158,10 @@
 
 
 class _Suspect:
-    """What is known of one request.
+    """The state of one suspect.
 
-    :ivar ends: when starts of endpoints ended under it.
-    :ivar answered_at: when it was last answered.
+    :ivar ends: times of the ends, by the hash of the ended process.
+    :ivar answered_at: when an endpoint last answered it.
     :ivar released_at: when an operator last released it.
     """
 
@@ -164,61 +172,61 @@
         self.answered_at = float('-inf')
         self.released_at = float('-inf')
 
-    def counted(self) -> set[int]:
-        """Return the starts whose ends count against it."""
+    def list_counted_starts(self) -> set[int]:
+        """Return the ended processes that count against it."""
         since = max(self.answered_at, self.released_at)
         return {start for start, at in self.ends.items() if at > since}
 
     def count(self) -> int:
-        """Return how many ends count against it."""
-        return len(self.counted())
+        """Return the number of ends that count against it."""
+        return len(self.list_counted_starts())
 
-    def was_sound(self) -> bool:
-        """Whether it was answered not long before the ends that count."""
-        counted = self.counted()
+    def was_recently_answered(self) -> bool:
+        """Whether it was answered shortly before the ends that count."""
+        counted = self.list_counted_starts()
         if not counted:
             return True
         first = min(self.ends[start] for start in counted)
-        return first - self.answered_at <= SOUND_SECONDS
+        return first - self.answered_at <= RECENT_ANSWER_SECONDS
 
-    def last(self) -> float:
-        """Return when something was last learnt of it."""
+    def find_last_update(self) -> float:
+        """Return when it last ended an endpoint, was answered or released."""
         return max(self.answered_at, self.released_at, *self.ends.values())
 
-    def block_seconds(self, least: int) -> float:
-        """Return for how long it is blocked after its last end, if it is.
+    def block_seconds(self, threshold: int) -> float:
+        """Return the duration of a block after its last end, 0 for none.
 
-        :param least: ends that block at least.
+        :param threshold: lowest number of ends that can block a request.
         """
-        over = self.count() - least
+        over = self.count() - threshold
         if over < 0:
             return 0.0
-        return min(LONGEST_BLOCK_SECONDS, FIRST_BLOCK_SECONDS * 2.0**over)
+        return min(MAX_BLOCK_SECONDS, MIN_BLOCK_SECONDS * 2.0**over)
 
 
 class Suspects:
-    """The suspects that this entry knows, from itself and from others.
+    """The suspects that this gateway knows, also from other gateways.
 
-    What two entries know is united: ends by the start that ended, answers by
-    the latest.  So it does not matter in which order word of it comes, or how
-    often.
+    States from two gateways are merged: the union of the ends, the latest
+    answer and the latest release.  So reports may arrive in any order and more
+    than once.
 
-    :param is_prober: whether this is the entry that may try a request once
-        more when its block is over.
-    :param on_block: called with the fingerprint of a request that is blocked
-        from now on.
+    :param is_prober: whether this gateway is the one that may send a given
+        request once more after its block.
+    :param on_block: called with the fingerprint of a request when its block
+        starts.
     """
 
     __slots__ = (
         '_thresholds',
-        '_is_trier',
+        '_is_prober',
         '_on_block',
         '_clock',
         '_suspects',
-        '_trials',
+        '_probes',
         '_blocked',
         '_digest',
-        '_answered',
+        '_answer_times',
     )
 
     def __init__(
@@ -230,20 +238,20 @@
         thresholds: Thresholds = Thresholds(),
     ) -> None:
         self._thresholds = thresholds
-        self._is_trier = is_prober
+        self._is_prober = is_prober
         self._on_block = on_block
         self._clock = clock
         self._suspects: dict[str, _Suspect] = {}
-        self._trials: set[str] = set()
+        self._probes: set[str] = set()
         self._blocked: set[str] = set()
         self._digest: SuspectDigest | None = None
-        self._answered: dict[str, float] = {}
+        self._answer_times: dict[str, float] = {}
 
     def __len__(self) -> int:
         return len(self._suspects)
 
     def decide(self, fingerprint: str) -> Decision:
-        """Return whether a request may run."""
+        """Decide whether a request may run."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return Allowed()
@@ -252,7 +260,7 @@
             return Allowed()
         if ends < self._thresholds.unshared:
             return Suspected()
-        age = self._clock() - suspect.last()
+        age = self._clock() - suspect.find_last_update()
         self.refresh()
         if fingerprint not in self._blocked:
             if age < PEER_REPORT_SECONDS:
@@ -261,19 +269,19 @@
         left = suspect.block_seconds(self._thresholds.unshared) - age
         if left > 0.0:
             return Blocked(ends=ends, seconds=left)
-        if self._may_try(fingerprint):
+        if self._may_probe(fingerprint):
             return Suspected()
-        return Blocked(ends=ends, seconds=TRIAL_RETRY_AFTER)
+        return Blocked(ends=ends, seconds=PROBE_RETRY_AFTER_SECONDS)
 
     def refresh(self) -> None:
-        """Block what is to be blocked from now on, and no longer the rest."""
+        """Start blocks that are due and end those whose reason is gone."""
         now = self._clock()
         blocked = {
             fingerprint
             for fingerprint, suspect in self._suspects.items()
             if (
                 fingerprint in self._blocked
-                or suspect.last() + PEER_REPORT_SECONDS <= now
+                or suspect.find_last_update() + PEER_REPORT_SECONDS <= now
             )
             and self._is_cause(suspect)
         }
@@ -292,46 +300,46 @@
             self._on_block(fingerprint)
 
     def _is_cause(self, suspect: _Suspect) -> bool:
-        """Whether endpoints end by a request and not beside it."""
-        starts = suspect.counted()
+        """Whether the request has enough ends to count as their cause."""
+        starts = suspect.list_counted_starts()
         if len(starts) < self._thresholds.unshared:
             return False
-        if suspect.was_sound():
+        if suspect.was_recently_answered():
             return len(starts) >= self._thresholds.recently_answered
         if len(starts) >= self._thresholds.shared:
             return True
         return not any(
-            starts <= other.counted()
+            starts <= other.list_counted_starts()
             for other in self._suspects.values()
             if other is not suspect
         )
 
-    def _may_try(self, fingerprint: str) -> bool:
-        return self._is_trier(fingerprint) and fingerprint not in self._trials
+    def _may_probe(self, fingerprint: str) -> bool:
+        return self._is_prober(fingerprint) and fingerprint not in self._probes
 
     def begin(self, fingerprint: str) -> None:
-        """Note that a request is sent to an endpoint.
+        """Record that a request is sent to an endpoint.
 
-        One whose block is over is tried by one request and not by all that
-        come at once, as each may end an endpoint.
+        After a block, only one copy is sent at a time as a probe, since each
+        copy may end an endpoint.
         """
         if fingerprint in self._blocked:
-            self._trials.add(fingerprint)
+            self._probes.add(fingerprint)
 
     def finish(self, fingerprint: str) -> None:
-        """Note that a request is with no endpoint any more."""
-        self._trials.discard(fingerprint)
+        """Record that a request no longer runs on an endpoint."""
+        self._probes.discard(fingerprint)
 
     def note_end(self, end: endpoint_ends.End) -> None:
-        """Note the requests that an endpoint had when it ended."""
+        """Record an end against the requests that were running."""
         now = self._clock()
         self._digest = None
-        start = _number(end.start)
+        start = _hash_start(end.start)
         for fingerprint in end.fingerprints:
             suspect = self._suspects.setdefault(fingerprint, _Suspect())
-            self._recall(fingerprint, suspect)
+            self._apply_earlier_answer(fingerprint, suspect)
             suspect.ends.setdefault(start, now)
-            _bound(suspect.ends)
+            _drop_oldest(suspect.ends)
             logging.info(
                 'request suspected',
                 extra=logs.fields(
@@ -340,18 +348,18 @@
                     ends=suspect.count(),
                 ),
             )
-        self._forget_surplus()
+        self._drop_excess()
 
     def note_answer(self, fingerprint: str) -> bool:
-        """Note that an endpoint has answered a request in full.
+        """Record that an endpoint has answered a request in full.
 
         :returns: whether that clears a suspect.
         """
         now = self._clock()
-        self._answered.pop(fingerprint, None)
-        self._answered[fingerprint] = now
-        if len(self._answered) > MOST_SOUND:
-            del self._answered[next(iter(self._answered))]
+        self._answer_times.pop(fingerprint, None)
+        self._answer_times[fingerprint] = now
+        if len(self._answer_times) > MAX_RECENT_ANSWERS:
+            del self._answer_times[next(iter(self._answer_times))]
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.count():
             return False
@@ -360,7 +368,7 @@
         return True
 
     def release(self, fingerprint: str) -> bool:
-        """Let a request run again, as an operator says.
+        """Let a request run again at the order of an operator.
 
         :returns: whether it was a suspect.
         """
@@ -379,13 +387,13 @@
         )
 
     def merge(self, suspicion: SuspectRecord, *, source: str) -> bool:
-        """Learn what another entry knows.
+        """Merge the state of a suspect that another gateway has sent.
 
-        Word that was long on its way makes an end look younger than it is, so
-        of two times for the same end the earlier one is right.
+        A delayed report makes an end look more recent than it is, so the
+        earlier of two times for the same end is kept.
 
-        :returns: whether we know of an answer by which it is sound, as others
-            should, too.
+        :returns: whether this gateway knows a recent answer that the sender
+            did not know, and should report it.
         """
         now = self._clock()
         self._digest = None
@@ -394,54 +402,56 @@
         for end in suspicion.ends:
             at = now - max(0.0, end.age)
             suspect.ends[end.start] = min(at, suspect.ends.get(end.start, at))
-        _bound(suspect.ends)
+        _drop_oldest(suspect.ends)
         suspect.answered_at = max(
-            suspect.answered_at, _find_time(now, suspicion.answered_age)
+            suspect.answered_at, _to_time(now, suspicion.answered_age)
         )
         suspect.released_at = max(
-            suspect.released_at, _find_time(now, suspicion.released_age)
+            suspect.released_at, _to_time(now, suspicion.released_age)
         )
         if not suspect.ends:
             del self._suspects[suspicion.fingerprint]
             return False
-        was_sound = suspect.was_sound()
-        self._recall(suspicion.fingerprint, suspect)
+        was_recently_answered = suspect.was_recently_answered()
+        self._apply_earlier_answer(suspicion.fingerprint, suspect)
         if before and not suspect.count():
             self._note_cleared(suspicion.fingerprint, source)
-        self._forget_surplus()
-        return suspect.was_sound() and not was_sound
+        self._drop_excess()
+        return suspect.was_recently_answered() and not was_recently_answered
 
-    def _recall(self, fingerprint: str, suspect: _Suspect) -> None:
-        """Count an answer that came before a request was suspected."""
-        answered_at = self._answered.get(fingerprint, float('-inf'))
+    def _apply_earlier_answer(
+        self, fingerprint: str, suspect: _Suspect
+    ) -> None:
+        """Apply an answer from before the request became a suspect."""
+        answered_at = self._answer_times.get(fingerprint, float('-inf'))
         suspect.answered_at = max(suspect.answered_at, answered_at)
 
     def digest(self) -> SuspectDigest:
-        """Return in short what is known.
+        """Return a digest of the suspects.
 
-        Requests with fewer ends than block any are left out: an endpoint that
-        ends by chance has many of them, and they change all the time.
+        Suspects with too few ends to be blocked are left out: each endpoint
+        that ends by coincidence adds many of them, which change all the time.
         """
         if self._digest is None:
             self._digest = _digest(self._suspects, self._thresholds.unshared)
         return self._digest
 
     def list_all(self) -> tuple[SuspectRecord, ...]:
-        """Return all that is known."""
+        """Return the states of all suspects."""
         return tuple(
             self._describe(fingerprint, suspect)
             for fingerprint, suspect in self._suspects.items()
         )
 
     def describe(self, fingerprint: str) -> SuspectRecord | None:
-        """Return what is known of a request, if there is anything."""
+        """Return the state of a request, or ``None`` if it is no suspect."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
         return self._describe(fingerprint, suspect)
 
     def list_blocked(self) -> dict[str, Blocked]:
-        """Return the requests that are sent nowhere."""
+        """Return the blocked requests by fingerprint."""
         found = {}
         for fingerprint in self._blocked & self._suspects.keys():
             decision = self.decide(fingerprint)
@@ -450,13 +460,13 @@
         return found
 
     def prune(self) -> None:
-        """Forget what has not been heard of for long enough."""
+        """Forget suspects whose state has not changed for long enough."""
         now = self._clock()
         for fingerprint, suspect in list(self._suspects.items()):
-            kept = KEPT_SECONDS + 2.0 * suspect.block_seconds(
+            kept = RETENTION_SECONDS + 2.0 * suspect.block_seconds(
                 self._thresholds.unshared
             )
-            if now - suspect.last() > kept:
+            if now - suspect.find_last_update() > kept:
                 del self._suspects[fingerprint]
                 self._digest = None
 
@@ -468,39 +478,39 @@
                 EndAge(start=start, age=round(now - at, 3))
                 for start, at in suspect.ends.items()
             ),
-            answered_age=_find_age(now, suspect.answered_at),
-            released_age=_find_age(now, suspect.released_at),
+            answered_age=_to_age(now, suspect.answered_at),
+            released_age=_to_age(now, suspect.released_at),
         )
 
-    def _forget_surplus(self) -> None:
-        """Bound what is remembered; those with the fewest ends go first."""
-        surplus = len(self._suspects) - MOST_SUSPECTS
-        if surplus <= 0:
+    def _drop_excess(self) -> None:
+        """Drop suspects above the limit, those with the fewest ends first."""
+        excess = len(self._suspects) - MAX_SUSPECTS
+        if excess <= 0:
             return
         order = sorted(
             self._suspects.items(),
-            key=lambda pair: (pair[1].count(), pair[1].last()),
+            key=lambda pair: (pair[1].count(), pair[1].find_last_update()),
         )
-        for fingerprint, _ in order[:surplus]:
+        for fingerprint, _ in order[:excess]:
             del self._suspects[fingerprint]
 
 
-def _find_age(now: float, at: float) -> float:
-    """Return the age of a time, negative for a time that never was."""
+def _to_age(now: float, at: float) -> float:
+    """Return the age of a time, negative for never."""
     return round(now - at, 3) if at != float('-inf') else -1.0
 
 
-def _find_time(now: float, age: float) -> float:
-    """Return the time of an age."""
+def _to_time(now: float, age: float) -> float:
+    """Return the time of an age, reversing :func:`_to_age`."""
     return now - age if age >= 0.0 else float('-inf')
 
 
-def _digest(known: dict[str, _Suspect], least: int) -> SuspectDigest:
+def _digest(known: dict[str, _Suspect], threshold: int) -> SuspectDigest:
     count = 0
     check = 0
     for fingerprint, suspect in known.items():
-        starts = sorted(suspect.counted())
-        if len(starts) >= least:
+        starts = sorted(suspect.list_counted_starts())
+        if len(starts) >= threshold:
             count += 1
             text = ' '.join(map(str, [fingerprint, *starts]))
             check ^= zlib.crc32(text.encode())
@@ -508,9 +518,10 @@
 
 
 def choose_prober(fingerprint: str, instances: Iterable[str]) -> str:
-    """Return the one of some entries that may try a blocked request.
+    """Return the gateway that may probe a request after its block.
 
-    All entries that know the same ones find the same.
+    Rendezvous hashing gives the same result at all gateways that know the same
+    instances.
     """
     return max(
         instances,
@@ -518,13 +529,15 @@
     )
 
 
-def _number(start: endpoint_ends.Start) -> int:
-    """Return a number that all entries give the same start."""
+def _hash_start(start: endpoint_ends.Start) -> int:
+    """Return a hash of a process that is the same at all gateways."""
     return zlib.crc32(f'{start.identity} {start.born}'.encode())
 
 
-def _bound(ends: dict[int, float]) -> None:
-    """Keep the latest ends; the others no longer matter."""
-    if len(ends) > MOST_ENDS:
-        for start in sorted(ends, key=lambda one: ends[one])[:-MOST_ENDS]:
+def _drop_oldest(ends: dict[int, float]) -> None:
+    """Drop the oldest ends above the limit."""
+    if len(ends) > MAX_ENDS_PER_SUSPECT:
+        for start in sorted(ends, key=lambda one: ends[one])[
+            :-MAX_ENDS_PER_SUSPECT
+        ]:
             del ends[start]
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -60,7 +60,7 @@
         )
         self.table.put(site.make_record(FakePort(1), **more))
         self.endpoint = self.table.find('i-1')
-        self.watch = endpoint_ends.EndWatch(
+        self.detector = endpoint_ends.EndDetector(
             open_connection=self._open,
             on_end=self.ends.append,
             metrics=metrics.create_local(instance='m'),
@@ -76,13 +76,14 @@
 
     def begin(self, *fingerprints):
         return [
-            self.watch.begin(Call(one), self.endpoint) for one in fingerprints
+            self.detector.begin(Call(one), self.endpoint)
+            for one in fingerprints
         ]
 
     async def lose_all(self, runs):
         async with anyio.create_task_group() as tasks:
             for run in runs:
-                tasks.start_soon(self.watch.lose, run)
+                tasks.start_soon(self.detector.note_break, run)
 
     @property
     def blamed(self):
@@ -149,12 +150,12 @@
     """
     one = Watched(answer)
     [run] = one.begin('a')
-    await one.watch.lose(run)
+    await one.detector.note_break(run)
     await anyio.sleep(3.5)
     if event == 'gone':
-        one.watch.note_gone('i-1')
+        one.detector.note_gone('i-1')
     else:
-        one.watch.note_restart('i-1')
+        one.detector.note_restart('i-1')
     assert one.blamed == (['a'] if ended else [])
 
 
@@ -177,9 +178,9 @@
     """
     one = Watched()
     lost, kept = one.begin('lost', 'kept')
-    await one.watch.lose(lost)
+    await one.detector.note_break(lost)
     assert one.ends == []
-    one.watch.finish(kept)
+    one.detector.finish(kept)
     assert one.ends == []
 
 
@@ -187,10 +188,10 @@
     """A request is not counted as its packet came 50 ms after another's."""
     one = Watched()
     first, second = one.begin('first', 'second')
-    await one.watch.lose(first)
+    await one.detector.note_break(first)
     assert one.ends == []
     await anyio.sleep(0.05)
-    assert await one.watch.lose(second)
+    assert await one.detector.note_break(second)
     assert one.blamed == ['first', 'second']
 
 
@@ -203,17 +204,17 @@
     """A caller leaves as its request ends the endpoint, and none is told."""
     one = Watched()
     left, lost = one.begin('left', 'lost')
-    one.watch.abandon(left)
+    one.detector.abandon(left)
     await anyio.sleep(seconds)
-    await one.watch.lose(lost)
+    await one.detector.note_break(lost)
     assert one.blamed == blamed
 
 
 async def test_refused_connection_of_another_request_tells_as_well():
     one = Watched()
     [left] = one.begin('left')
-    one.watch.abandon(left)
-    await one.watch.note_refused(one.endpoint)
+    one.detector.abandon(left)
+    await one.detector.note_refused(one.endpoint)
     assert one.blamed == ['left']
     assert one.checks == 0
 
@@ -221,16 +222,16 @@
 async def test_answered_requests_are_not_told():
     one = Watched()
     answered, lost = one.begin('answered', 'lost')
-    one.watch.finish(answered)
-    await one.watch.lose(lost)
+    one.detector.finish(answered)
+    await one.detector.note_break(lost)
     assert one.blamed == ['lost']
 
 
 async def test_nothing_is_kept_of_what_is_over():
     one = Watched(Sound())
     answered, lost = one.begin('answered', 'lost')
-    one.watch.finish(answered)
-    await one.watch.lose(lost)
-    await anyio.sleep(endpoint_ends.KEPT_SECONDS + 0.1)
-    one.watch.prune()
-    assert one.watch._traces == {}
+    one.detector.finish(answered)
+    await one.detector.note_break(lost)
+    await anyio.sleep(endpoint_ends.RETENTION_SECONDS + 0.1)
+    one.detector.prune()
+    assert one.detector._states == {}
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -10,7 +10,7 @@
 from marigoldramp.gateway import endpoint_ends
 from marigoldramp.gateway import suspects
 
-FIRST = suspects.FIRST_BLOCK_SECONDS
+FIRST = suspects.MIN_BLOCK_SECONDS
 WORD = suspects.PEER_REPORT_SECONDS
 
 
@@ -117,7 +117,7 @@
 def test_released_request_counts_anew():
     known = Known()
     known.suspects.note_answer('a')
-    known.now += 2.0 * suspects.SOUND_SECONDS
+    known.now += 2.0 * suspects.RECENT_ANSWER_SECONDS
     known.end('i-1', 'a')
     known.end('i-2', 'a')
     assert known.suspects.release('a')
@@ -133,9 +133,9 @@
 
 def test_answers_that_are_remembered_are_bounded():
     known = Known()
-    for number in range(suspects.MOST_SOUND + 10):
+    for number in range(suspects.MAX_RECENT_ANSWERS + 10):
         known.suspects.note_answer(str(number))
-    assert len(known.suspects._answered) == suspects.MOST_SOUND
+    assert len(known.suspects._answer_times) == suspects.MAX_RECENT_ANSWERS
 
 
 def test_same_endpoint_that_starts_again_ends_once_more():
@@ -222,10 +222,10 @@
 @pytest.mark.parametrize(
     ('ends', 'seconds', 'kept'),
     [
-        (1, suspects.KEPT_SECONDS - 1.0, True),
-        (1, suspects.KEPT_SECONDS + 1.0, False),
-        (2, suspects.KEPT_SECONDS + 1.9 * FIRST, True),
-        (2, suspects.KEPT_SECONDS + 2.1 * FIRST, False),
+        (1, suspects.RETENTION_SECONDS - 1.0, True),
+        (1, suspects.RETENTION_SECONDS + 1.0, False),
+        (2, suspects.RETENTION_SECONDS + 1.9 * FIRST, True),
+        (2, suspects.RETENTION_SECONDS + 2.1 * FIRST, False),
     ],
 )
 def test_what_is_over_is_forgotten(ends, seconds, kept):
@@ -243,7 +243,7 @@
     known.end('i-2', 'a')
     for number in range(100):
         known.end(f'j-{number}', *(f'{number}-{one}' for one in range(20)))
-    assert len(known.suspects) == suspects.MOST_SUSPECTS
+    assert len(known.suspects) == suspects.MAX_SUSPECTS
     assert known.decide('a') == 'Blocked'
 
 
