--- a/marigoldramp/gateway/boot_clock.py
+++ b/marigoldramp/gateway/boot_clock.py
@@ -1,8 +1,8 @@
-"""The clock by which the age of a belief is counted.
+"""The clock that measures how old data is.
 
 The usual monotonic clock stands still while an instance is suspended.  An
-age counted by it would be too small by that time, seen as a revoked key that
-is still accepted after the instance wakes.
+age counted by it would be too small by that time: a revoked key, for example,
+would still be accepted after the instance wakes.
 """
 
 import time
--- a/marigoldramp/gateway/departures.py
+++ b/marigoldramp/gateway/departures.py
@@ -1,30 +1,30 @@
-"""Remembers endpoints that have left, for a list that brings them back.
+"""Remembers endpoints that have left, in case a restored store lists them.
 
 A store that is restored from a copy lists endpoints that have left since the
-copy was made.  Those that live write their entries again soon; until then
-nothing tells them from the others, and a request to one that has left is lost,
-or worse, runs at whoever has its address now.
+copy was made.  Live endpoints soon write their records again; until then they
+cannot be told from those that have left.  A request to an endpoint that has
+left is lost or, worse, runs at the new owner of its address.
 """
 
 from typing import Callable
 
 from . import deployment
 
-#: Seconds for which a departure is remembered, longer than copies are old.
-KEPT_SECONDS = 60.0
-#: Seconds after a restore within which endpoints that live have written their
-#: entries again, and the others' have lapsed: three of their heartbeats and
-#: the time in which the list is worked off.
-RESTORED_SECONDS = 5.0
+#: Seconds for which a departure is remembered; longer than the age of a copy.
+RETENTION_SECONDS = 60.0
+#: Seconds after a restore within which live endpoints have written their
+#: records again and the records of others have lapsed: three heartbeats and
+#: the time to process the list.
+RESTORE_WINDOW_SECONDS = 5.0
 
 
 class Departures:
-    """What has left, and what a restored list says of it all the same.
+    """Endpoints that have left, and their records in a restored list.
 
     :param restored_at: returns when the store was last restored.
     """
 
-    __slots__ = ('_restored_at', '_clock', '_left', '_doubted')
+    __slots__ = ('_restored_at', '_clock', '_left_at', '_deferred')
 
     def __init__(
         self,
@@ -34,44 +34,47 @@
     ) -> None:
         self._restored_at = restored_at
         self._clock = clock
-        self._left: dict[tuple[str, int], float] = {}
-        self._doubted: dict[str, deployment.EndpointRecord] = {}
+        self._left_at: dict[tuple[str, int], float] = {}
+        self._deferred: dict[str, deployment.EndpointRecord] = {}
 
     def note(self, record: deployment.EndpointRecord) -> None:
-        """Note that an endpoint has left."""
+        """Record that an endpoint has left."""
         now = self._clock()
-        self._left[record.identity, record.born] = now
-        for start, at in list(self._left.items()):
-            if now - at > KEPT_SECONDS:
-                del self._left[start]
+        self._left_at[record.identity, record.born] = now
+        for start, at in list(self._left_at.items()):
+            if now - at > RETENTION_SECONDS:
+                del self._left_at[start]
 
-    def doubts(self, record: deployment.EndpointRecord) -> bool:
-        """Whether a list may only show an endpoint as it is an old copy.
+    def defer_outdated(self, record: deployment.EndpointRecord) -> bool:
+        """Defer a listed record if it may come from an outdated copy.
 
-        What is doubted is kept until it is clear.
+        :returns: whether it was deferred, see :meth:`pop_deferred`.
         """
-        if not self._is_restored():
+        if not self._is_recently_restored():
             return False
-        if (record.identity, record.born) not in self._left:
+        if (record.identity, record.born) not in self._left_at:
             return False
-        self._doubted[record.identity] = record
+        self._deferred[record.identity] = record
         return True
 
-    def forget(self, identity: str) -> None:
-        """Note what is written of an endpoint now, whatever it is."""
-        doubted = self._doubted.pop(identity, None)
-        if doubted is not None:
-            self._left.pop((identity, doubted.born), None)
+    def note_change(self, identity: str) -> None:
+        """Record that a record has been written or removed since the restore.
 
-    def take_clear(self) -> list[deployment.EndpointRecord]:
-        """Return what is still listed when the time of doubt is over."""
-        if not self._doubted or self._is_restored():
+        The deferred record and the departure no longer matter then.
+        """
+        deferred = self._deferred.pop(identity, None)
+        if deferred is not None:
+            self._left_at.pop((identity, deferred.born), None)
+
+    def pop_deferred(self) -> list[deployment.EndpointRecord]:
+        """Return deferred records that are still listed after the window."""
+        if not self._deferred or self._is_recently_restored():
             return []
-        clear = list(self._doubted.values())
-        for record in clear:
-            self.forget(record.identity)
-        return clear
-
-    def _is_restored(self) -> bool:
-        """Whether a list may be that of an old copy."""
-        return self._clock() - self._restored_at() < RESTORED_SECONDS
+        due = list(self._deferred.values())
+        for record in due:
+            self.note_change(record.identity)
+        return due
+
+    def _is_recently_restored(self) -> bool:
+        """Whether a list may come from an outdated copy."""
+        return self._clock() - self._restored_at() < RESTORE_WINDOW_SECONDS
--- a/marigoldramp/gateway/discovery.py
+++ b/marigoldramp/gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Follows which endpoints there are, by the store or by peers."""
+"""Keeps the list of endpoints current, from the store or from peers."""
 
 from typing import Awaitable
 from typing import Callable
@@ -13,43 +13,47 @@
 from . import listings
 from . import presence as presence_module
 
-#: Seconds that one watch lasts at most.
-WATCH_SECONDS = 25.0
-#: Seconds between two tries of the first entry while the store is away.
-RETRY_AFTER = 0.5
-#: Seconds for which a peer may know of a change that we do not, before our
-#: own watch counts as silent.
-BEHIND_SECONDS = 0.4
-LOOK_EVERY = 0.1
-#: Seconds between a change and the next watch.  Endpoints that start or leave
-#: together are then one call of the store and not one call each.
+#: Duration of one watch (a long poll of the store).
+MAX_WATCH_SECONDS = 25.0
+#: Seconds between two attempts of the first gateway while the store is
+#: unavailable; others wait longer.
+RETRY_SECONDS = 0.5
+#: Seconds for which a peer may know a newer change before this gateway's own
+#: watch counts as stalled.
+MAX_BEHIND_SECONDS = 0.4
+#: Seconds between two searches for lapsed endpoints.
+CHECK_INTERVAL_SECONDS = 0.1
+#: Seconds between a change and the next watch, so that endpoints that start or
+#: leave together take one call to the store and not one each.
 BATCH_SECONDS = 0.5
-#: Seconds between two looks whether peers still follow the store for us, and
-#: until a peer is asked again that could not tell what it knows.
-PEERS_EVERY = 0.2
-#: Seconds until a peer is asked again after a list that was not settled.
+#: Seconds between two checks whether peers still follow the store for this
+#: gateway, and before a peer is asked again that did not answer.
+PEER_POLL_SECONDS = 0.2
+#: Seconds before a peer is asked again after a list that was not settled.
 UNSETTLED_RETRY_SECONDS = 0.5
 
 
-#: Fetches the endpoints from a peer that knows of changes after a revision.
-FromPeers = Callable[[int], Awaitable[listings.Listing | None]]
+#: Fetches the endpoints from a peer that has changes after a revision.
+FetchFromPeers = Callable[[int], Awaitable[listings.Listing | None]]
 
 
 class EndpointFollower:
-    """Keeps the table of endpoints up to date.
+    """Follows the endpoints in the store and updates the table.
 
-    :param presence: takes what is learnt of endpoints.
-    :param relies_on_peers: whether peers follow the store for us and tell us
-        of changes.
-    :param fetch_from_peers: returns the endpoints that a peer knows, if it
-        knows of changes after a revision.
-    :param position: returns our place among the entries that hear each other
-        often, 0 for the first.
-    :ivar revision: of the newest change that is known.
-    :ivar store: whether the store answers us about endpoints.
-    :ivar change_revision: of the newest change of an endpoint.
-    :ivar settled_revision: of the newest change up to which what is missing
-        is gone, as far as we know.
+    :param presence: applies records to the table of endpoints.
+    :param on_change: called after each update.
+    :param relies_on_peers: whether peers follow the store for this gateway and
+        report changes to it.
+    :param fetch_from_peers: returns the endpoints of a peer that has changes
+        after a revision, or ``None``.
+    :param position: returns this gateway's place among those that report to
+        each other often, 0 for the first.
+    :ivar listed: whether a list of endpoints has been applied.
+    :ivar revision: the store's revision up to which changes are known.
+    :ivar store: whether the store answers calls about endpoints.
+    :ivar change_revision: revision of the newest known change of an endpoint.
+    :ivar settled_revision: newest ``change_revision`` at which the list was
+        settled, see :class:`.listings.Listing`.
     """
 
     __slots__ = (
@@ -57,13 +61,13 @@
         '_table',
         '_clock',
         '_on_change',
-        '_from_peers',
+        '_fetch_from_peers',
         '_position',
-        '_heard',
+        '_peer_revision',
         '_wake',
         '_behind_since',
         '_watching',
-        '_acted_on',
+        '_restarted_for',
         'presence',
         'listed',
         'revision',
@@ -83,7 +87,7 @@
         presence: presence_module.Presence,
         on_change: Callable[[], None],
         relies_on_peers: Callable[[], bool] = lambda: False,
-        fetch_from_peers: FromPeers | None = None,
+        fetch_from_peers: FetchFromPeers | None = None,
         position: Callable[[], int] = lambda: 0,
     ) -> None:
         self._source = source
@@ -92,13 +96,13 @@
         self.presence = presence
         self._on_change = on_change
         self.relies_on_peers = relies_on_peers
-        self._from_peers = fetch_from_peers
+        self._fetch_from_peers = fetch_from_peers
         self._position = position
-        self._heard = 0
+        self._peer_revision = 0
         self._wake = anyio.Event()
         self._behind_since = float('inf')
         self._watching: anyio.CancelScope | None = None
-        self._acted_on = 0
+        self._restarted_for = 0
         self.listed = False
         self.revision = 0
         self.change_revision = 0
@@ -111,36 +115,36 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._look_after)
+            tasks.start_soon(self._remove_lapsed)
             while True:
                 found = await self._source.list_all()
                 match found:
                     case listings.Listing():
                         self._note_answer()
                         self.apply_listing(found)
-                        await self._follow()
+                        await self._follow_store()
                     case store.Unavailable(detail=detail):
                         self._note_failure(detail)
                         await self._pause()
 
     def note_peer_revision(self, *, change_revision: int) -> None:
-        """Learn how far a peer knows of changes.
+        """Record the newest change that a peer knows.
 
-        Our own watch may have gone silent, seen as a leaving endpoint that
-        this entry alone goes on using.
+        If this gateway stays behind, its own watch has stalled and is
+        restarted.  Without this it alone would go on using a leaving endpoint.
         """
-        if change_revision > self._heard:
-            self._heard = change_revision
+        if change_revision > self._peer_revision:
+            self._peer_revision = change_revision
             self._wake.set()
-        known = max(self.revision, self.change_revision, self._acted_on)
+        known = max(self.revision, self.change_revision, self._restarted_for)
         if change_revision <= known:
             self._behind_since = float('inf')
             return
         now = self._clock()
         self._behind_since = min(self._behind_since, now)
-        if now - self._behind_since > BEHIND_SECONDS:
+        if now - self._behind_since > MAX_BEHIND_SECONDS:
             self._behind_since = float('inf')
-            self._acted_on = change_revision
+            self._restarted_for = change_revision
             if self._watching is not None:
                 logging.info(
                     'watch behind peers',
@@ -151,16 +155,16 @@
                 self._watching.cancel()
 
     def note_restore(self) -> None:
-        """The store has come back from an older copy; list it anew."""
+        """List the endpoints anew after the store was restored from a copy."""
         self.presence.note_store_outage()
         if self._watching is not None:
             self._watching.cancel()
 
     def apply_peer_listing(self, listing: listings.Listing) -> None:
-        """Take what a peer knows, while the store does not answer us.
+        """Apply a peer's list while this gateway does not ask the store.
 
-        Leavings are taken and endpoints added; one that is missing is removed
-        only if the peer's own view was not disturbed.
+        Endpoints are added and marked as leaving; those that are missing in
+        the list are removed only if it is settled.
         """
         known = self.change_revision
         if listing.settled:
@@ -188,7 +192,7 @@
         self._on_change()
 
     def apply_listing(self, listing: listings.Listing) -> None:
-        """Take a whole list; what is missing in it has vanished."""
+        """Apply a complete list; what is missing in it is listed no longer."""
         for record in listing.records:
             self.presence.put_listed(record)
         self.presence.drop_unlisted(listing.records)
@@ -206,7 +210,7 @@
         self._on_change()
 
     def apply_changes(self, changes: listings.Changes) -> None:
-        """Take what a watch has shown."""
+        """Apply the changes that a watch has returned."""
         for record in changes.records:
             self.presence.put_written(record)
         for identity in changes.removed:
@@ -228,7 +232,7 @@
         self._behind_since = float('inf')
 
     def make_listing(self) -> listings.Listing:
-        """Return what is known, for a peer."""
+        """Return the known endpoints, for a peer."""
         return listings.Listing(
             records=tuple(endpoint.record for endpoint in self._table),
             revision=self.revision,
@@ -237,21 +241,21 @@
         )
 
     def _is_settled(self) -> bool:
-        """Whether all that we list is there, and what we do not is gone.
+        """Whether listed endpoints exist and all others have left.
 
-        An entry that relies on peers is in touch with the store for other
-        things, whatever it last heard of endpoints.
+        That the store answers is not enough: a gateway that relies on peers
+        for endpoints still calls the store for other objects.
         """
         if not self.store.reached or not self.presence.is_settled:
             return False
         return self.settled_revision >= self.change_revision
 
     def reported_settled_revision(self) -> int:
-        """Return up to which change our list is settled, 0 if it is not."""
+        """Return the settled revision for peers, 0 if unsettled."""
         return self.settled_revision if self._is_settled() else 0
 
-    async def _follow(self) -> None:
-        """Watch until the history is gone or the store is lost."""
+    async def _follow_store(self) -> None:
+        """Watch until the store fails or has dropped the needed changes."""
         while True:
             if self.relies_on_peers():
                 await self._follow_peers()
@@ -264,7 +268,7 @@
             ) = None
             with anyio.CancelScope() as self._watching:
                 found = await self._source.watch(
-                    after=asked_after, seconds=WATCH_SECONDS
+                    after=asked_after, seconds=MAX_WATCH_SECONDS
                 )
             self._watching = None
             match found:
@@ -287,35 +291,35 @@
                     return
 
     async def _follow_peers(self) -> None:
-        """Learn of changes from peers while they follow the store for us."""
-        assert self._from_peers is not None
+        """Fetch changes from peers while they follow the store."""
+        assert self._fetch_from_peers is not None
         while self.relies_on_peers():
             if self._is_peer_due():
                 self._asked_at = self._clock()
-                found = await self._from_peers(self.settled_revision)
+                found = await self._fetch_from_peers(self.settled_revision)
                 if found is not None:
                     self.apply_peer_listing(found)
             self._wake = anyio.Event()
-            with anyio.move_on_after(PEERS_EVERY):
+            with anyio.move_on_after(PEER_POLL_SECONDS):
                 await self._wake.wait()
 
     def _is_peer_due(self) -> bool:
-        """Whether to ask a peer: for changes, or for a settled list.
+        """Whether to ask a peer for changes or for a settled list.
 
-        A peer whose store was away a moment ago does not know yet whether
-        what is missing is gone.  It does so two seconds later, which is no
-        change that anybody tells of.
+        After a failure of the store, a peer's list is unsettled for two
+        seconds.  That it has settled is not announced as a change, so peers
+        are polled for it.
         """
-        if self._heard > self.change_revision:
+        if self._peer_revision > self.change_revision:
             return True
         if self.settled_revision >= self.change_revision:
             return False
         return self._clock() - self._asked_at >= UNSETTLED_RETRY_SECONDS
 
-    async def _look_after(self) -> None:
-        """Remove vanished endpoints that have not come back."""
+    async def _remove_lapsed(self) -> None:
+        """Remove unlisted endpoints that have not come back in time."""
         while True:
-            await anyio.sleep(LOOK_EVERY)
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
             if self.store.reached:
                 self.presence.remove_lapsed()
 
@@ -324,10 +328,10 @@
             self.presence.note_store_outage()
 
     async def _pause(self) -> None:
-        """Wait after the store has not answered."""
+        """Wait after a failed call to the store."""
         await anyio.sleep(
             dependency_health.scale_retry_delay(
-                RETRY_AFTER, position=self._position()
+                RETRY_SECONDS, position=self._position()
             )
         )
 
--- a/marigoldramp/gateway/endpoint_signals.py
+++ b/marigoldramp/gateway/endpoint_signals.py
@@ -1,4 +1,4 @@
-"""Handling of shutdown and backoff signals in response headers."""
+"""Handles shutdown and backoff signals in response headers of endpoints."""
 
 from typing import Callable
 
--- a/marigoldramp/gateway/fingerprints.py
+++ b/marigoldramp/gateway/fingerprints.py
@@ -1,28 +1,28 @@
-"""Tells whether two requests are the same in all that an endpoint acts on.
+"""Computes fingerprints, by which retries of the same request are recognized.
 
-A caller that comes back gives its request a new identifier each time, so the
-identifier says nothing of what earlier ones did to the endpoints that ran
-them.
+A caller gives each retry a new identifier, so the identifier does not show
+what earlier attempts did to the endpoints that ran them.  The fingerprint
+covers everything in a request that an endpoint acts on.
 """
 
 import hashlib
 
 from . import inbound
 
-#: Bytes of a fingerprint: with some million requests a day two of different
-#: content share one in less than one day of a million.
+#: Size of a fingerprint in bytes.  With a few million requests a day, the
+#: probability of a collision is less than one in a million a day.
 DIGEST_BYTES = 8
 
 
 def compute_fingerprint(
     *, head: inbound.Head, customer: str, body: bytes
 ) -> str:
-    """Return what requests of the same caller and content share.
+    """Return the fingerprint of a request's caller and content.
 
-    The customer stands in it by name: a key is a secret, and fingerprints are
-    logged.
+    It covers the customer's name and not the key, as a key is secret and
+    fingerprints are logged.
 
-    :param customer: whose key the request carries, empty for nobody's.
+    :param customer: owner of the key in the request, empty without one.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     parts = (head.method, head.host.lower().encode(), head.target)
--- a/marigoldramp/gateway/listings.py
+++ b/marigoldramp/gateway/listings.py
@@ -1,4 +1,4 @@
-"""Which endpoints there are, as somebody knows them, and where to ask."""
+"""Lists and changes of endpoints, and the interface to their source."""
 
 import abc
 import dataclasses
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Listing:
-    """All endpoints at a revision.
+    """All endpoints at a revision of the store.
 
-    :ivar newest: revision of the newest change of one of them.
-    :ivar settled: what is missing is gone; it has not lapsed while the store
-        was away.
+    :ivar newest: revision of the newest change of an endpoint.
+    :ivar settled: whether endpoints that are missing have left.  Otherwise
+        their records may have lapsed while the store was unavailable.
     """
 
     records: tuple[deployment.EndpointRecord, ...]
@@ -24,13 +24,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Changes:
-    """What has changed up to a revision.
+    """The changes up to a revision of the store.
 
     :ivar removed: identities of endpoints that are no longer listed.
-    :ivar newest: revision of the newest of these changes.  The revision up
-        to which a watch has seen everything is no measure of what it knows:
-        it also grows with changes of other objects, and entries that know
-        the same would take each other's for a change that they have missed.
+    :ivar newest: revision of the newest of these changes.  Gateways compare it
+        instead of ``revision``, which also grows with changes of other
+        objects: a gateway with the same endpoints would seem to have missed a
+        change.
     """
 
     records: tuple[deployment.EndpointRecord, ...]
@@ -41,11 +41,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class HistoryGone:
-    """The changes since the revision are no longer known; list anew."""
+    """The store no longer has the changes since a revision; list again."""
 
 
 class EndpointSource(abc.ABC):
-    """Where endpoints register."""
+    """The registry of endpoints."""
 
     @abc.abstractmethod
     async def list_all(self) -> Listing | store.Unavailable:
@@ -55,4 +55,4 @@
     async def watch(
         self, *, after: int, seconds: float
     ) -> Changes | HistoryGone | store.Unavailable:
-        """Return what changes after a revision, at most after a time."""
+        """Wait for changes after a revision, for some seconds at most."""
--- a/marigoldramp/gateway/presence.py
+++ b/marigoldramp/gateway/presence.py
@@ -1,13 +1,13 @@
-"""Which endpoints are there, by what lists and changes say of them.
+"""Decides which endpoints are present, from lists and changes of the store.
 
-Entries of endpoints may lapse while the store is away, though the endpoint
-lives; it then registers again within a moment of the store's return.  An
-endpoint that vanishes around a disturbance of the store is therefore kept
-for that moment.  One that says that it leaves is left at once, always.
+While the store is unavailable, the record of a live endpoint may lapse; the
+endpoint registers again soon after the store is back.  So an endpoint that is
+no longer listed around an outage is kept for a short time.  An endpoint that
+reports its shutdown gets no more requests at once, in any case.
 
-A store that comes back from an older copy lists endpoints that have left
-since, and does not list some that live.  The latter are kept in the same way;
-the former get nothing until they write their entries themselves.
+A store that is restored from an older copy lists endpoints that have left
+since, and lacks some that are live.  The latter are kept in the same way; the
+former get no requests until they write their records themselves.
 """
 
 import dataclasses
@@ -21,18 +21,18 @@
 from . import deployment
 from . import endpoints
 
-#: Seconds for which a vanished endpoint is kept after the store's return.
+#: Seconds for which an unlisted endpoint is kept after an outage of the store.
 KEEP_UNLISTED_SECONDS = 2.2
 #: Seconds for which the shutdown report of an endpoint is kept; must exceed
 #: the duration of a shutdown.
-KEEP_LEAVING_REPORTS = 600.0
+LEAVING_REPORT_RETENTION_SECONDS = 600.0
 
 
 class Presence:
-    """Keeps the table of endpoints in step with what is listed.
+    """Applies lists and changes to the table of endpoints.
 
-    :param on_gone: called with the identity of an endpoint that is removed.
-    :param on_restart: called with the identity of one that has started anew.
+    :param on_gone: called with the identity of a removed endpoint.
+    :param on_restart: called with the identity of a restarted endpoint.
     :param restored_at: returns when the store was last restored from a copy.
     """
 
@@ -41,8 +41,8 @@
         '_clock',
         '_on_gone',
         '_on_restart',
-        '_vanished',
-        '_disturbed_until',
+        '_unlisted',
+        '_outage_until',
         '_leaving',
         '_leaving_reports',
         '_departures',
@@ -61,8 +61,8 @@
         self._clock = clock
         self._on_gone = on_gone
         self._on_restart = on_restart
-        self._vanished: dict[str, float] = {}
-        self._disturbed_until = float('-inf')
+        self._unlisted: dict[str, float] = {}
+        self._outage_until = float('-inf')
         self._leaving: set[str] = set()
         self._leaving_reports: dict[tuple[str, int], float] = {}
         self._departures = departures.Departures(
@@ -71,22 +71,22 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether what is missing in the table is gone."""
-        return self._clock() >= self._disturbed_until and not self._vanished
+        """Whether endpoints that the table lacks have left."""
+        return self._clock() >= self._outage_until and not self._unlisted
 
     def note_store_outage(self) -> None:
-        """The store does not answer somebody; entries may lapse."""
-        self._disturbed_until = max(
-            self._disturbed_until, self._clock() + KEEP_UNLISTED_SECONDS
+        """Record that the store failed a call, so that records may lapse."""
+        self._outage_until = max(
+            self._outage_until, self._clock() + KEEP_UNLISTED_SECONDS
         )
 
     def is_unlisted(self, identity: str) -> bool:
-        """Whether an endpoint is kept that is listed no longer."""
-        return identity in self._vanished
+        """Whether an endpoint is kept although it is listed no longer."""
+        return identity in self._unlisted
 
     def put_listed(self, record: deployment.EndpointRecord) -> None:
-        """Take an endpoint from a list, which may be an old copy's."""
-        if self._departures.doubts(record):
+        """Add or update an endpoint from a list, maybe of a restored copy."""
+        if self._departures.defer_outdated(record):
             logging.info(
                 'endpoint listed that had left',
                 extra=logs.fields(
@@ -97,19 +97,19 @@
         self._put(record)
 
     def put_written(self, record: deployment.EndpointRecord) -> None:
-        """Take what has just been written of an endpoint."""
-        self._departures.forget(record.identity)
+        """Add or update an endpoint whose record has just been written."""
+        self._departures.note_change(record.identity)
         self._put(record)
 
     def note_leaving(self, record: deployment.EndpointRecord) -> None:
         """Mark an endpoint as leaving after it reported its shutdown.
 
-        The report is kept separately because the entry in the store may never
+        The report is kept separately because the record in the store may never
         show the shutdown, or may lapse and come back without it.
         """
         now = self._clock()
         for key, reported_at in list(self._leaving_reports.items()):
-            if now - reported_at > KEEP_LEAVING_REPORTS:
+            if now - reported_at > LEAVING_REPORT_RETENTION_SECONDS:
                 del self._leaving_reports[key]
         self._leaving_reports[record.identity, record.born] = now
         known = self._table.find(record.identity)
@@ -134,15 +134,15 @@
         known = self._table.find(identity)
         if known is not None and record.born != known.record.born:
             if record.born < known.record.born:
-                # A list that lags tells of a start that is over.
+                # An outdated list shows the process before the restart.
                 return
             self._note_restart(known.record, record)
         if record.leaving or (identity, record.born) in self._leaving_reports:
             self._mark_leaving(record)
         if identity in self._leaving:
-            # A list that lags must not bring a leaving endpoint back.
+            # An outdated list must not bring a leaving endpoint back.
             record = dataclasses.replace(record, leaving=True)
-        self._vanished.pop(identity, None)
+        self._unlisted.pop(identity, None)
         if self._table.find(identity) is None:
             logging.info(
                 'endpoint known',
@@ -160,9 +160,10 @@
         old: deployment.EndpointRecord,
         new: deployment.EndpointRecord,
     ) -> None:
-        """Forget a start of an endpoint that is over.
+        """Forget the previous process of a restarted endpoint.
 
-        Its connections lead nowhere, and it is not the one that left.
+        Its connections are dead, and its shutdown does not concern the new
+        process.
         """
         logging.info(
             'endpoint restarted',
@@ -176,23 +177,26 @@
     def drop_unlisted(
         self, records: Iterable[deployment.EndpointRecord]
     ) -> None:
-        """Take what a whole list does not name as vanished."""
+        """Treat endpoints that a complete list lacks as unlisted."""
         listed = {record.identity for record in records}
         for endpoint in self._table:
             if endpoint.identity not in listed:
                 self.note_unlisted(endpoint.identity)
 
     def note_unlisted(self, identity: str) -> None:
-        """Take an endpoint as listed no longer."""
-        self._departures.forget(identity)
+        """Remove an endpoint that is listed no longer, or keep it for a time.
+
+        It is kept around an outage of the store unless it is leaving.
+        """
+        self._departures.note_change(identity)
         now = self._clock()
-        if now < self._disturbed_until and identity not in self._leaving:
-            self._vanished.setdefault(identity, self._disturbed_until)
+        if now < self._outage_until and identity not in self._leaving:
+            self._unlisted.setdefault(identity, self._outage_until)
             return
         self._remove(identity)
 
     def _remove(self, identity: str) -> None:
-        self._vanished.pop(identity, None)
+        self._unlisted.pop(identity, None)
         self._leaving.discard(identity)
         removed = self._table.remove(identity)
         if removed is not None:
@@ -201,10 +205,14 @@
             self._on_gone(identity)
 
     def remove_lapsed(self) -> None:
-        """Remove what has not come back, and take what is in doubt no more."""
-        for record in self._departures.take_clear():
+        """Remove endpoints that have not come back in time.
+
+        Also add deferred endpoints that are still listed, see
+        :mod:`.departures`.
+        """
+        for record in self._departures.pop_deferred():
             self._put(record)
         now = self._clock()
-        for identity, until in list(self._vanished.items()):
+        for identity, until in list(self._unlisted.items()):
             if now >= until:
                 self._remove(identity)
--- a/marigoldramp/gateway/suspect_exchange.py
+++ b/marigoldramp/gateway/suspect_exchange.py
@@ -1,9 +1,9 @@
-"""How entries come to know the same suspects.
+"""Exchanges suspects with peers, until all gateways know the same ones.
 
-What an entry learns itself it tells all peers at once, and again in the
-reports of the next seconds.  A peer that hears none of these, as it was cut
-off or has just started, notices by the digest of what is known that stands in
-each report, and fetches all of it.
+When a gateway itself sees a change of a suspect, it reports it to all peers at
+once and again in the reports of the next seconds.  A peer that receives none
+of these, since it was cut off or has just started, notices a difference by the
+digest in each report and fetches all suspects.
 """
 
 import collections
@@ -20,28 +20,28 @@
 from . import peers
 from . import suspects
 
-#: Seconds for which reports tell of what was learnt.
-TOLD_SECONDS = 3.0
-#: Suspects that one report tells of: as many as fit beside all else.
+#: Seconds for which a change is included in reports.
+REPORTING_SECONDS = 3.0
+#: Limit of suspects in one report, which has to hold other data as well.
 MAX_REPORTED_SUSPECTS = 6
-#: Seconds for which a peer must have known something else before it is asked:
-#: what was learnt just now is on its way.
-DIFFERS_SECONDS = 0.5
-#: Seconds until a peer is asked again that had nothing new to us.
-ASK_AGAIN_SECONDS = 5.0
-#: Seconds between two looks for a peer to be asked.
-LOOK_EVERY = 0.1
+#: Seconds for which a peer's digest must have differed before its suspects are
+#: fetched, as recent changes may still be on their way.
+MIN_DIFFERENCE_SECONDS = 0.5
+#: Seconds before suspects are fetched again from the same peer.
+REFETCH_SECONDS = 5.0
+#: Seconds between two checks for a peer to fetch from.
+CHECK_INTERVAL_SECONDS = 0.1
 
 
 class SuspectList(msgspec.Struct, frozen=True, kw_only=True):
-    """All suspects that an entry knows."""
+    """All suspects that a gateway knows."""
 
     suspicions: tuple[suspects.SuspectRecord, ...]
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Learnt:
-    """What this entry has learnt itself, and when."""
+class _Change:
+    """A change of a suspect to report, and when it was queued."""
 
     fingerprint: str
     at: float
@@ -51,10 +51,11 @@
 
 
 class SuspectExchange:
-    """Tells peers of suspects, and takes their word.
+    """Reports suspects to peers and merges those that peers report.
 
-    :param fetch: returns all that a peer knows.
-    :param send_reports_now: has the next reports sent at once.
+    :param known: the suspects that this gateway knows.
+    :param fetch: returns all suspects of a peer, ``None`` if that failed.
+    :param send_reports_now: sends the next reports without delay.
     """
 
     __slots__ = (
@@ -63,7 +64,7 @@
         '_fetch',
         '_send_reports_now',
         '_clock',
-        '_learnt',
+        '_changes',
         '_differs_since',
     )
 
@@ -81,27 +82,29 @@
         self._fetch = fetch
         self._send_reports_now = send_reports_now
         self._clock = clock
-        self._learnt: collections.deque[_Learnt] = collections.deque()
+        self._changes: collections.deque[_Change] = collections.deque()
         self._differs_since: dict[str, float] = {}
 
     def note_change(self, fingerprint: str) -> None:
-        """Note that this entry has learnt of a request itself."""
-        self._keep(fingerprint)
+        """Report a change that this gateway has seen itself."""
+        self._queue(fingerprint)
         self._send_reports_now()
 
-    def _keep(self, fingerprint: str) -> None:
-        """Tell of a request in the reports of the next seconds."""
-        self._learnt.append(_Learnt(fingerprint=fingerprint, at=self._clock()))
+    def _queue(self, fingerprint: str) -> None:
+        """Include a suspect in the reports of the next seconds."""
+        self._changes.append(
+            _Change(fingerprint=fingerprint, at=self._clock())
+        )
 
     def make_update(self) -> suspects.SuspectUpdate:
-        """Return what the next report says."""
-        oldest = self._clock() - TOLD_SECONDS
-        while self._learnt and self._learnt[0].at < oldest:
-            self._learnt.popleft()
-        named = dict.fromkeys(one.fingerprint for one in self._learnt)
+        """Return the part of the next report that is about suspects."""
+        oldest = self._clock() - REPORTING_SECONDS
+        while self._changes and self._changes[0].at < oldest:
+            self._changes.popleft()
+        recent = dict.fromkeys(one.fingerprint for one in self._changes)
         found = [
             self._known.describe(one)
-            for one in list(named)[-MAX_REPORTED_SUSPECTS:]
+            for one in list(recent)[-MAX_REPORTED_SUSPECTS:]
         ]
         return suspects.SuspectUpdate(
             digest=self._known.digest(),
@@ -109,45 +112,47 @@
         )
 
     def handle_report(self, report: peer_reports.Report) -> None:
-        """Take what a report says."""
+        """Merge the suspects of a peer's report and compare its digest."""
         news = report.suspect_news
-        for suspicion in news.suspicions:
-            if self._known.merge(suspicion, source=report.instance):
-                # Many entries may know of an answer; their next reports do.
-                self._keep(suspicion.fingerprint)
+        for suspect in news.suspicions:
+            if self._known.merge(suspect, source=report.instance):
+                # Many gateways may know of the answer, so it waits for the
+                # next regular report.
+                self._queue(suspect.fingerprint)
         own = self._known.digest()
-        # Who knows less asks, so that not all ask one that has just started.
+        # Only a gateway that knows no more than its peer fetches, so that not
+        # all fetch from one that has just started.
         if news.digest == own or news.digest.known < own.known:
             self._differs_since.pop(report.instance, None)
             return
         since = self._clock()
         if not own.known:
-            since -= DIFFERS_SECONDS
+            since -= MIN_DIFFERENCE_SECONDS
         self._differs_since.setdefault(report.instance, since)
 
     def list_all(self) -> SuspectList:
-        """Return all that is known here."""
+        """Return all suspects that this gateway knows."""
         return SuspectList(suspicions=self._known.list_all())
 
     async def run(self) -> None:
-        """Ask peers that know more until cancelled."""
+        """Fetch suspects from peers that differ, until cancelled."""
         while True:
-            await anyio.sleep(LOOK_EVERY)
-            peer = self._find_due()
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
+            peer = self._find_differing_peer()
             if peer is not None:
-                await self._ask(peer)
+                await self._fetch_from(peer)
 
-    def _find_due(self) -> peers.Peer | None:
-        """Return a peer that has known something else for long enough."""
-        latest = self._clock() - DIFFERS_SECONDS
+    def _find_differing_peer(self) -> peers.Peer | None:
+        """Return a peer whose digest has differed for long enough."""
+        latest = self._clock() - MIN_DIFFERENCE_SECONDS
         for peer in self._peers.live():
             since = self._differs_since.get(peer.instance)
             if since is not None and since <= latest:
                 return peer
         return None
 
-    async def _ask(self, peer: peers.Peer) -> None:
-        self._differs_since[peer.instance] = self._clock() + ASK_AGAIN_SECONDS
+    async def _fetch_from(self, peer: peers.Peer) -> None:
+        self._differs_since[peer.instance] = self._clock() + REFETCH_SECONDS
         found = await self._fetch(peer)
         if found is None:
             return
@@ -157,8 +162,8 @@
                 peer=peer.instance, suspects=len(found.suspicions)
             ),
         )
-        for suspicion in found.suspicions:
-            self._known.merge(suspicion, source=peer.instance)
+        for suspect in found.suspicions:
+            self._known.merge(suspect, source=peer.instance)
         own = self._known.digest()
         for other in self._peers.live():
             report = other.report
--- a/marigoldramp/gateway/suspect_storage.py
+++ b/marigoldramp/gateway/suspect_storage.py
@@ -1,9 +1,9 @@
-"""Keeps in the platform's store which requests are blocked.
+"""Keeps the blocked requests in the platform's store.
 
-Entries keep nothing of their own.  When all of them lose power together, what
-they knew is gone, and each blocked request ends as many endpoints once more.
-One entry, the first of those that hear each other, writes the few that are
-blocked, and removes them later; each entry reads them when it starts.
+Gateways keep nothing on disk.  If all of them lost power together, each
+blocked request could end as many endpoints again.  So one gateway, the first
+of those that report to each other, writes the few blocked requests and removes
+them later; each gateway reads them when it starts.
 """
 
 from typing import Callable
@@ -18,20 +18,20 @@
 from . import suspects
 
 KIND = 'marigoldramp-suspects'
-#: Seconds between two tries of the first entry while the store does not
-#: answer.
-RETRY_AFTER = 1.0
-#: Seconds between two looks at what is to be written, which ask nothing.
-LOOK_EVERY = 0.5
-#: Seconds between two reads of the list by the entry that keeps it: what was
-#: written can be lost when the store comes back from a copy.
-READ_EVERY = 120.0
+#: Seconds between two attempts of the first gateway while the store is
+#: unavailable; others wait longer.
+RETRY_SECONDS = 1.0
+#: Seconds between two checks for changes to write, which are local.
+CHECK_INTERVAL_SECONDS = 0.5
+#: Seconds between two reads of the list by the gateway that writes it, as a
+#: store that is restored from a copy may have lost rows.
+READ_INTERVAL_SECONDS = 120.0
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """What stands in the store of one request; its name is the fingerprint.
+    """The value stored of one blocked request, named by its fingerprint.
 
-    :ivar starts: numbers of the starts of endpoints that ended under it.
+    :ivar starts: hashes of the ended endpoint processes that count against it.
     """
 
     starts: tuple[int, ...]
@@ -40,8 +40,8 @@
 class SuspectStorage:
     """Reads blocked requests from the store and writes them.
 
-    :param position: returns our place among the entries that hear each other,
-        0 for the first, which writes.
+    :param position: returns this gateway's place among those that report to
+        each other, 0 for the first, which writes.
     """
 
     __slots__ = (
@@ -69,34 +69,37 @@
         self._read_at = float('-inf')
 
     async def run(self) -> None:
-        """Read what is blocked, then keep it until cancelled."""
-        while not await self._read(learns=True):
+        """Read the blocked requests, then write changes until cancelled."""
+        while not await self._read(applies=True):
             await self._pause()
         while True:
-            await anyio.sleep(LOOK_EVERY)
+            await anyio.sleep(CHECK_INTERVAL_SECONDS)
             if self._position() > 0:
                 self._read_at = float('-inf')
-            elif not await self._keep():
+            elif not await self._sync():
                 await self._pause()
 
     def note_restore(self) -> None:
-        """The store has come back from an older copy; read it anew."""
+        """Read the list again after the store was restored from a copy."""
         self._read_at = float('-inf')
 
     async def _pause(self) -> None:
         await anyio.sleep(
             dependency_health.scale_retry_delay(
-                RETRY_AFTER, position=self._position()
+                RETRY_SECONDS, position=self._position()
             )
         )
 
-    async def _keep(self) -> bool:
-        """Make the store hold what is blocked; whether it answered."""
+    async def _sync(self) -> bool:
+        """Write and remove rows to match the blocked requests.
+
+        :returns: whether the store answered.
+        """
         blocked = self._known.list_blocked()
         if not blocked and not self._rows:
             return True
-        if self._clock() - self._read_at > READ_EVERY:
-            return await self._read(learns=False)
+        if self._clock() - self._read_at > READ_INTERVAL_SECONDS:
+            return await self._read(applies=False)
         for fingerprint in blocked.keys() - self._rows.keys():
             if not await self._write(fingerprint):
                 return False
@@ -105,11 +108,13 @@
                 return False
         return True
 
-    async def _read(self, *, learns: bool) -> bool:
-        """Read the list; whether the store answered.
+    async def _read(self, *, applies: bool) -> bool:
+        """Read the list of rows.
 
-        :param learns: what is listed is blocked.  Later it may be what we
-            have cleared or forgotten.
+        :param applies: whether listed requests become blocked here.  That is
+            right at the start only: later, the list may hold requests that
+            this gateway has cleared or forgotten.
+        :returns: whether the store answered.
         """
         found = await self._store.list_objects(kind=KIND)
         if isinstance(found, store_module.Unavailable):
@@ -118,13 +123,13 @@
         self._rows = {
             stored.key.name: stored.version for stored in found.objects
         }
-        if learns:
+        if applies:
             for stored in found.objects:
-                self._learn(stored)
+                self._apply(stored)
         return True
 
-    def _learn(self, stored: store_module.Stored) -> None:
-        """Take a row as written just now, as nothing tells its age."""
+    def _apply(self, stored: store_module.Stored) -> None:
+        """Apply a row as if its ends were recent, as no ages are stored."""
         try:
             row = msgspec.json.decode(stored.value, type=Row)
         except msgspec.MsgspecError as error:
@@ -147,10 +152,10 @@
         )
 
     async def _write(self, fingerprint: str) -> bool:
-        suspicion = self._known.describe(fingerprint)
-        if suspicion is None:
+        suspect = self._known.describe(fingerprint)
+        if suspect is None:
             return True
-        row = Row(starts=tuple(end.start for end in suspicion.ends))
+        row = Row(starts=tuple(end.start for end in suspect.ends))
         result = await self._store.write(
             key=store_module.Key(kind=KIND, name=fingerprint),
             value=msgspec.json.encode(row),
@@ -160,7 +165,7 @@
             case store_module.Written(version=version):
                 self._rows[fingerprint] = version
             case store_module.Conflict():
-                # Another entry has written it; its version is not needed
+                # Another gateway has written it; the version is not needed
                 # until the next read.
                 self._rows[fingerprint] = 0
             case _:
--- a/tests/gateway/test_restores.py
+++ b/tests/gateway/test_restores.py
@@ -24,7 +24,7 @@
 from . import site
 
 pytestmark = pytest.mark.anyio
-AGAIN = departures.RESTORED_SECONDS
+AGAIN = departures.RESTORE_WINDOW_SECONDS
 
 
 @pytest.fixture
@@ -224,7 +224,7 @@
     for number in range(1000):
         known.note(make_record(f'i-{number}'))
         await anyio.sleep(1.0)
-    assert len(known._left) <= departures.KEPT_SECONDS + 1
+    assert len(known._left_at) <= departures.RETENTION_SECONDS + 1
 
 
 # Configuration
--- a/tests/gateway/test_suspect_exchange.py
+++ b/tests/gateway/test_suspect_exchange.py
@@ -211,9 +211,9 @@
         if learns != 'those cut off':
             network.entries[9].end('i-3', 'a', 'b')
             network.entries[9].end('i-4', 'a')
-        await anyio.sleep(suspect_exchange.TOLD_SECONDS + 1.0)
+        await anyio.sleep(suspect_exchange.REPORTING_SECONDS + 1.0)
         network.cut.clear()
-        await anyio.sleep(suspect_exchange.DIFFERS_SECONDS + 0.5)
+        await anyio.sleep(suspect_exchange.MIN_DIFFERENCE_SECONDS + 0.5)
         assert network.knowing('a') == 12
         await anyio.sleep(10.0)
         digests = {str(one.suspects.digest()) for one in network.entries}
@@ -229,7 +229,7 @@
         network = Network(tasks, 12)
         network.entries[0].end('i-1', 'a')
         network.entries[0].end('i-2', 'a')
-        await anyio.sleep(suspect_exchange.TOLD_SECONDS + 1.0)
+        await anyio.sleep(suspect_exchange.REPORTING_SECONDS + 1.0)
         network.entries[0].start()
         await anyio.sleep(0.35)
         assert network.knowing('a') == 12
--- a/tests/gateway/test_suspect_storage.py
+++ b/tests/gateway/test_suspect_storage.py
@@ -15,7 +15,7 @@
 from . import site
 
 pytestmark = pytest.mark.anyio
-LOOK = suspect_storage.LOOK_EVERY + 0.01
+CHECK_INTERVAL = suspect_storage.CHECK_INTERVAL_SECONDS + 0.01
 
 
 @pytest.fixture
@@ -26,7 +26,7 @@
 class CountingStore(site.FakeStore):
     """A store that counts what it is asked."""
 
-    name = 'suspect_keeper_test_store'
+    name = 'suspect_storage_test_store'
 
     def __init__(self):
         super().__init__()
@@ -66,7 +66,7 @@
             on_block=lambda fingerprint: None,
             clock=virtual_time.now,
         )
-        self.keeper = suspect_storage.SuspectStorage(
+        self.storage = suspect_storage.SuspectStorage(
             known=self.suspects,
             store=store,
             position=lambda: self.position,
@@ -76,7 +76,7 @@
     @contextlib.asynccontextmanager
     async def run(self):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.keeper.run)
+            tasks.start_soon(self.storage.run)
             await anyio.sleep(0.01)
             yield self
             tasks.cancel_scope.cancel()
@@ -104,7 +104,7 @@
     store = CountingStore()
     async with Entry(store, position).run() as entry:
         await entry.block('a', ends)
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
         assert store.names == names
 
 
@@ -112,7 +112,7 @@
     store = CountingStore()
     async with Entry(store).run() as entry:
         await entry.block('a')
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
     async with Entry(store).run() as entry:
         await anyio.sleep(suspects.PEER_REPORT_SECONDS)
         assert isinstance(entry.suspects.decide('a'), suspects.Blocked)
@@ -124,9 +124,9 @@
     async with Entry(store).run() as entry:
         await entry.block('a')
         await entry.block('b')
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
         entry.suspects.note_answer('a')
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
         assert store.names == ['b']
 
 
@@ -134,15 +134,15 @@
     store = CountingStore()
     async with Entry(store).run() as first:
         await first.block('a')
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
         async with Entry(store, position=1).run() as second:
             await second.block('b')
-            await anyio.sleep(LOOK)
+            await anyio.sleep(CHECK_INTERVAL)
             assert store.names == ['a']
             second.suspects.note_answer('a')
             second.position = 0
             first.position = 1
-            await anyio.sleep(2.0 * LOOK)
+            await anyio.sleep(2.0 * CHECK_INTERVAL)
             assert store.names == ['b']
 
 
@@ -154,7 +154,7 @@
         await entry.block('a')
         await anyio.sleep(seconds)
         store.away = False
-        await anyio.sleep(suspect_storage.RETRY_AFTER + 2.0 * LOOK)
+        await anyio.sleep(suspect_storage.RETRY_SECONDS + 2.0 * CHECK_INTERVAL)
         assert store.names == ['a']
 
 
@@ -163,9 +163,11 @@
     store = CountingStore()
     async with Entry(store).run() as entry:
         await entry.block('a')
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
         store.objects.clear()
-        await anyio.sleep(suspect_storage.READ_EVERY + 2.0 * LOOK)
+        await anyio.sleep(
+            suspect_storage.READ_INTERVAL_SECONDS + 2.0 * CHECK_INTERVAL
+        )
         assert store.names == ['a']
 
 
@@ -173,10 +175,10 @@
     store = CountingStore()
     async with Entry(store).run() as entry:
         await entry.block('a')
-        await anyio.sleep(LOOK)
+        await anyio.sleep(CHECK_INTERVAL)
         store.objects.clear()
-        entry.keeper.note_restore()
-        await anyio.sleep(2.0 * LOOK)
+        entry.storage.note_restore()
+        await anyio.sleep(2.0 * CHECK_INTERVAL)
         assert store.names == ['a']
 
 
