--- a/tests/gateway/test_closed_endpoints.py
+++ b/tests/gateway/test_closed_endpoints.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ('backoffs', 'seconds', 'open_time'),
+    ('backoffs', 'seconds', 'opens_at'),
     [
         ((3.0,), 1.0, 3.0),
         ((3.0, 5.0), 1.0, 3.0),
@@ -53,15 +53,15 @@
     ],
 )
 async def test_request_is_refused_at_once_when_no_endpoint_opens_in_time(
-    backoffs, seconds, open_time
+    backoffs, seconds, opens_at
 ):
     """Guards against waiting for a backoff that outlasts the deadline."""
     made, _ = make_dispatcher(*backoffs)
     refused = await made.acquire(make_demand(seconds))
     assert virtual_time.now() == 0.0
     assert refused.reason is outcomes.Reason.CANNOT_END_IN_TIME
-    latest = open_time + dispatch.MAX_RETRY_JITTER_SECONDS
-    assert open_time <= refused.retry_after <= latest
+    latest = opens_at + dispatch.MAX_RETRY_JITTER_SECONDS
+    assert opens_at <= refused.retry_after <= latest
 
 
 async def test_refused_callers_get_different_retry_delays():
--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of requests that end each endpoint which begins to run them."""
+"""Tests of requests that end each endpoint that starts to run them."""
 
 import anyio
 import pytest
@@ -11,9 +11,9 @@
 from . import site
 
 pytestmark = pytest.mark.anyio
-#: How often a request may still be sent after it has ended three endpoints
-#: and all entries have heard of it.
-MOST_SENDS = 3
+#: Limit of sends of a request after it has ended three endpoints and all
+#: gateways have received reports of it.
+MAX_SENDS = 3
 KINDS = {'idempotent': '/safe/1', 'once': '/once/1', 'stream': '/stream/1'}
 CONTENT = fleets.ENDS_ENDPOINT
 ENTRIES = ('entry-0', 'entry-1', 'entry-2')
@@ -21,15 +21,12 @@
 
 @pytest.mark.parametrize('kind', KINDS)
 async def test_request_that_ends_endpoints_is_sent_to_few(monkeypatch, kind):
-    """Nobody is served for as long as one request comes back.
-
-    Symptom: an endpoint ends each time the service has recovered from the
-    last end, eight of them in a row, and all callers wait or are refused.
-    Sequence: a request ends the endpoint that begins to run it.  Its caller
-    comes back with the same, at any entry, which sends it to the next one.
-    Cause: what a request has done to endpoints was known to the attempt that
-    saw it, and forgotten with it.  Each attempt bears a new identifier, so
-    neither its own entry nor another one could tell that it is the same.
+    """Guards against an outage for as long as a caller retries one request.
+
+    The request ends the endpoint that starts to run it.  The caller retries
+    through any gateway, which sends the request to the next endpoint: eight in
+    a row end, each time the service has recovered.  Each retry has a new
+    identifier, so gateways have to recognize the request by its content.
     """
     async with fleets.run_fleet(monkeypatch) as fleet:
         counted_from = None
@@ -41,17 +38,16 @@
             if counted_from is None and len(fleet.ends) >= 3:
                 counted_from = len(fleet.sends)
         sent = fleet.count_sends(counted_from) if counted_from else 0
-    assert sent <= MOST_SENDS
+    assert sent <= MAX_SENDS
 
 
 @pytest.mark.parametrize('kind', KINDS)
 async def test_caller_is_told_that_a_blocked_request_did_not_run(
     monkeypatch, kind
 ):
-    """A request that cannot be served waits until its deadline.
+    """Guards against a blocked request that waits until its deadline.
 
-    Cause: it was held for a place though it was known that none would be
-    given to it.
+    It must not wait for a slot that it will never get.
     """
     async with fleets.run_fleet(monkeypatch) as fleet:
         while len(fleet.ends) < suspects.Thresholds().unshared:
@@ -68,23 +64,23 @@
         assert len(fleet.sends) == before
 
 
-async def end_one(fleet):
-    """Have a request that is not repeated end one endpoint."""
+async def end_one_endpoint(fleet):
+    """End one endpoint with a request that is not retried."""
     await fleet.call('entry-0', '/once/1', CONTENT)
     await fleet.revive()
     await fleet.exchange()
     assert len(fleet.ends) == 1
 
 
-async def test_copies_at_several_entries_end_one_endpoint(monkeypatch):
-    """Three endpoints end within 60 ms.
+async def test_copies_at_several_gateways_end_one_endpoint(monkeypatch):
+    """Guards against copies of a request that end three endpoints in 60 ms.
 
-    Sequence: a request has ended one endpoint.  Copies of it wait at three
-    entries until the service runs again, and go out together.
-    Cause: each entry chose an endpoint of its own for its copy.
+    A request has ended one endpoint.  Copies of it wait at three gateways
+    until the service has recovered and are then sent together.  If each
+    gateway chose another endpoint, each copy would end one.
     """
     async with fleets.run_fleet(monkeypatch, endpoints=8) as fleet:
-        await end_one(fleet)
+        await end_one_endpoint(fleet)
         async with anyio.create_task_group() as tasks:
             for entry in ENTRIES:
                 tasks.start_soon(fleet.call, entry, '/once/1', CONTENT)
@@ -98,14 +94,14 @@
 
 
 @pytest.mark.parametrize('endpoints', [2, 4])
-async def test_requests_beside_one_that_ends_endpoints_are_served(
+async def test_harmless_requests_on_ended_endpoints_are_served(
     monkeypatch, endpoints
 ):
-    """Callers whose requests happened to run beside are refused.
+    """Guards against blocking requests that ran beside a harmful one.
 
-    Sequence: an endpoint ends with six sound requests on it.  They are sent
-    again, together with the one that ended it, and the next endpoint ends.
-    Cause: all seven were under two ends, and nothing told them apart.
+    An endpoint ends with six harmless requests on it.  They are sent again
+    together with the harmful one, and the next endpoint ends.  All seven were
+    then running at two ends.
     """
     async with fleets.run_fleet(monkeypatch, endpoints=endpoints) as fleet:
         answers = []
@@ -139,7 +135,7 @@
 
 
 async def test_same_content_of_another_customer_is_served(monkeypatch):
-    """What one caller's request does says nothing of another's."""
+    """Guards against blocking a customer for a request of another one."""
     keys = {
         key: site.deployment.Customer(name=key) for key in ('one', 'other')
     }
@@ -162,14 +158,11 @@
 
 
 @pytest.mark.parametrize('learns', ENTRIES[1:])
-async def test_entries_that_could_not_hear_each_other_agree_later(
-    monkeypatch, learns
-):
-    """After a partition a request ends as many endpoints once more.
+async def test_gateways_agree_after_a_partition(monkeypatch, learns):
+    """Guards against a request that ends as many endpoints after a partition.
 
-    Sequence: one entry is cut off from the others; it, or another one, sees a
-    request end two endpoints.  The network is whole again.
-    Cause: word of it was told while nobody could hear it.
+    One gateway is cut off from the others.  It, or another one, sees a request
+    end two endpoints, and its reports are lost.  The partition then heals.
     """
     async with fleets.run_fleet(monkeypatch, endpoints=6) as fleet:
         fleet.cut.add('entry-1')
@@ -184,10 +177,10 @@
         assert len(fleet.ends) == 2
 
 
-async def test_entry_that_starts_learns_what_others_know(monkeypatch):
-    """Each restart of an entry costs two more endpoints.
+async def test_restarted_gateway_learns_blocked_requests(monkeypatch):
+    """Guards against two more ended endpoints at each restart of a gateway.
 
-    Cause: what it knew went with the process.
+    The process loses all suspects that it knew.
     """
     async with fleets.run_fleet(monkeypatch) as fleet:
         await fleet.call('entry-1', '/safe/1', CONTENT)
@@ -202,10 +195,10 @@
         assert len(fleet.ends) == 2
 
 
-async def test_what_all_entries_lose_together_is_read_again(monkeypatch):
-    """A loss of power everywhere costs two more endpoints each time.
+async def test_blocked_requests_outlast_a_restart_of_all_gateways(monkeypatch):
+    """Guards against two more ended endpoints after a power loss everywhere.
 
-    Cause: only entries knew what is blocked, and none of them was left.
+    All gateways lose the suspects that they knew at once.
     """
     async with fleets.run_fleet(monkeypatch) as fleet:
         await fleet.call('entry-1', '/safe/1', CONTENT)
@@ -226,20 +219,19 @@
         assert len(fleet.ends) == 2
 
 
-async def test_copies_that_wait_are_refused_as_soon_as_it_is_known(
+async def test_waiting_copies_are_refused_when_blocked(
     monkeypatch,
 ):
-    """Each copy that waits for a place ends one endpoint more.
+    """Guards against waiting copies that end one more endpoint each.
 
-    Sequence: copies of a request wait at an entry while others of them end
-    two endpoints elsewhere.
-    Cause: only new requests were looked at.
+    Copies of a request wait at a gateway while other copies end two endpoints
+    elsewhere.  Not only new requests have to be checked then.
     """
     async with fleets.run_fleet(monkeypatch, entries=1, endpoints=1) as fleet:
         entry = fleet.entries['entry-0'].gateway
         answers = []
 
-        async def copy():
+        async def send_copy():
             got = await fleet.call('entry-0', '/safe/1', CONTENT)
             answers.append(got.status)
 
@@ -249,7 +241,7 @@
                 tasks.start_soon(fleet.call, 'entry-0', '/safe/1', body)
             await fleet.until_sent(4)
             for _ in range(3):
-                tasks.start_soon(copy)
+                tasks.start_soon(send_copy)
             await fleet.until(
                 lambda: entry.dispatcher.count_waiting('notes') == 3
             )
@@ -279,11 +271,10 @@
 @pytest.mark.parametrize(
     'fault', [fake.cut, fake.truncate, fake.garbage, fake.decline()]
 )
-async def test_endpoint_that_fails_a_request_and_lives_blocks_nothing(fault):
-    """A caller is refused for good as faulty endpoints broke its answers.
+async def test_failures_of_a_live_endpoint_block_nothing(fault):
+    """Guards against blocking a request as faulty endpoints broke its answers.
 
-    Cause of such a refusal: a connection that breaks was taken for the end of
-    its endpoint.
+    A broken connection must not count as the end of the endpoint.
     """
     one = fake.FakeEndpoint(identity='i-1', scripts=[fault])
     config = site.make_configuration(site.make_route(timeout=0.5))
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -1,4 +1,4 @@
-"""Tests of noticing that endpoints have ended, and what they had then."""
+"""Tests of detecting ended endpoints and the requests they were running."""
 
 import random
 
@@ -23,33 +23,33 @@
     return virtual_time.make_backend()
 
 
-class Sound(outbound.Connection):
-    """A connection that somebody has accepted."""
+class Accepted(outbound.Connection):
+    """An accepted connection, which is reset unless it is stable."""
 
-    def __init__(self, stands=True):
-        self.stands = stands
+    def __init__(self, is_stable=True):
+        self.is_stable = is_stable
 
     async def stays_open(self, seconds):
-        return self.stands
+        return self.is_stable
 
 
 class FakePort:
-    """Where an endpoint listens, or does not."""
+    """The identity and port of an endpoint."""
 
     def __init__(self, port):
         self.identity = 'i-1'
         self.port = port
 
 
-class Call:
-    """What the watch looks at of a call."""
+class FakeCall:
+    """The part of a call that the detector reads."""
 
     def __init__(self, fingerprint):
         self.fingerprint = fingerprint
 
 
-class Watched:
-    """One endpoint that is watched, and what was told of it."""
+class DetectorSite:
+    """A detector with one endpoint, and the ends that it reports."""
 
     def __init__(self, *answers, **more):
         self.answers = list(answers or [REFUSED])
@@ -76,7 +76,7 @@
 
     def begin(self, *fingerprints):
         return [
-            self.detector.begin(Call(one), self.endpoint)
+            self.detector.begin(FakeCall(one), self.endpoint)
             for one in fingerprints
         ]
 
@@ -92,17 +92,16 @@
 
 @pytest.mark.parametrize(
     ('answer', 'ended'),
-    [(REFUSED, True), (SILENT, False), (Sound(), False)],
+    [(REFUSED, True), (SILENT, False), (Accepted(), False)],
     ids=['refused', 'silent', 'accepted'],
 )
-async def test_port_tells_whether_an_endpoint_has_ended(answer, ended):
-    """One rank of a group ends, and all others count as ended, too.
+async def test_only_a_refused_connection_proves_an_end(answer, ended):
+    """Guards against treating each broken connection as an end.
 
-    Sequence: the rank's process ends; its group stalls, and each other rank
-    resets what it has.
-    Cause: a connection that breaks was taken for the end of its endpoint.
+    When one rank of a group ends, the group stalls, and all other ranks reset
+    their connections as well.
     """
-    one = Watched(answer)
+    one = DetectorSite(answer)
     await one.lose_all(one.begin('a', 'b', 'c'))
     assert one.blamed == (['a', 'b', 'c'] if ended else [])
     assert one.checks == 1
@@ -112,19 +111,18 @@
 @pytest.mark.parametrize(
     ('answers', 'ended'),
     [
-        ((Sound(stands=False), REFUSED), True),
-        ((Sound(stands=False), Sound()), False),
-        ((Sound(stands=False), SILENT), False),
+        ((Accepted(is_stable=False), REFUSED), True),
+        ((Accepted(is_stable=False), Accepted()), False),
+        ((Accepted(is_stable=False), SILENT), False),
     ],
 )
-async def test_port_that_closes_later_than_its_connections(answers, ended):
-    """An endpoint that ends takes one connection more, and counts as sound.
+async def test_port_that_closes_after_its_connections(answers, ended):
+    """Guards against treating the first opened connection as proof of life.
 
-    Sequence: the process closes what it has, then its port.  A connection
-    that is opened in between waits unaccepted, and is reset.
-    Cause: the first connection that opens was taken for proof.
+    An ending process closes its connections first and its port later.  A
+    connection that is opened in between waits unaccepted and is reset.
     """
-    one = Watched(*answers)
+    one = DetectorSite(*answers)
     await one.lose_all(one.begin('a'))
     assert one.blamed == (['a'] if ended else [])
 
@@ -134,21 +132,20 @@
     [
         (SILENT, 'gone', True),
         (SILENT, 'restart', True),
-        (Sound(), 'gone', False),
-        (Sound(), 'restart', True),
+        (Accepted(), 'gone', False),
+        (Accepted(), 'restart', True),
     ],
 )
-async def test_endpoint_that_refuses_nothing_is_known_by_its_entry(
+async def test_end_of_an_unreachable_endpoint_shows_in_the_list(
     answer, event, ended
 ):
-    """An endpoint whose instance has died ends without a word.
+    """Guards against missing the end of an endpoint whose instance died.
 
-    Sequence: nothing answers there any more, its entry lapses seconds later,
-    or it is listed with a later start.
-    Cause of a wrong end: one that lives is taken off the list, and breaks off
-    an answer besides.
+    Nothing answers there any more; seconds later its record lapses, or it is
+    listed as restarted.  A live endpoint that broke off an answer and is then
+    removed from the list has not ended.
     """
-    one = Watched(answer)
+    one = DetectorSite(answer)
     [run] = one.begin('a')
     await one.detector.note_break(run)
     await anyio.sleep(3.5)
@@ -161,7 +158,7 @@
 
 @pytest.mark.parametrize('before', ['leaving', 'removed'])
 async def test_end_of_an_endpoint_that_leaves_blames_nothing(before):
-    one = Watched(leaving=before == 'leaving')
+    one = DetectorSite(leaving=before == 'leaving')
     runs = one.begin('a', 'b')
     if before == 'removed':
         one.table.remove('i-1')
@@ -169,14 +166,13 @@
     assert one.ends == []
 
 
-async def test_endpoint_that_answers_others_has_not_ended():
-    """An endpoint with all its connections taken counts as ended.
+async def test_endpoint_with_other_requests_has_not_ended():
+    """Guards against treating an endpoint at its connection limit as ended.
 
-    Sequence: it breaks off an answer and refuses one connection more; what it
-    had before goes on.
-    Cause: a refused connection was taken for proof.
+    It breaks off an answer and refuses a further connection, while its other
+    requests continue.
     """
-    one = Watched()
+    one = DetectorSite()
     lost, kept = one.begin('lost', 'kept')
     await one.detector.note_break(lost)
     assert one.ends == []
@@ -184,9 +180,9 @@
     assert one.ends == []
 
 
-async def test_requests_that_break_later_are_told_later():
-    """A request is not counted as its packet came 50 ms after another's."""
-    one = Watched()
+async def test_requests_that_break_later_are_reported_later():
+    """Guards against ignoring a connection that breaks 50 ms later."""
+    one = DetectorSite()
     first, second = one.begin('first', 'second')
     await one.detector.note_break(first)
     assert one.ends == []
@@ -198,11 +194,9 @@
 @pytest.mark.parametrize(
     ('seconds', 'blamed'), [(0.5, ['left', 'lost']), (1.5, ['lost'])]
 )
-async def test_request_that_its_caller_left_just_before_counts(
-    seconds, blamed
-):
-    """A caller leaves as its request ends the endpoint, and none is told."""
-    one = Watched()
+async def test_request_whose_caller_just_left_is_reported(seconds, blamed):
+    """Guards against ignoring a request whose caller left during the end."""
+    one = DetectorSite()
     left, lost = one.begin('left', 'lost')
     one.detector.abandon(left)
     await anyio.sleep(seconds)
@@ -210,8 +204,8 @@
     assert one.blamed == blamed
 
 
-async def test_refused_connection_of_another_request_tells_as_well():
-    one = Watched()
+async def test_refused_connection_of_another_request_proves_an_end():
+    one = DetectorSite()
     [left] = one.begin('left')
     one.detector.abandon(left)
     await one.detector.note_refused(one.endpoint)
@@ -219,16 +213,16 @@
     assert one.checks == 0
 
 
-async def test_answered_requests_are_not_told():
-    one = Watched()
+async def test_answered_requests_are_not_reported():
+    one = DetectorSite()
     answered, lost = one.begin('answered', 'lost')
     one.detector.finish(answered)
     await one.detector.note_break(lost)
     assert one.blamed == ['lost']
 
 
-async def test_nothing_is_kept_of_what_is_over():
-    one = Watched(Sound())
+async def test_old_states_are_pruned():
+    one = DetectorSite(Accepted())
     answered, lost = one.begin('answered', 'lost')
     one.detector.finish(answered)
     await one.detector.note_break(lost)
--- a/tests/gateway/test_quality.py
+++ b/tests/gateway/test_quality.py
@@ -1,4 +1,4 @@
-"""Tests of how an endpoint is left that is slow or fails, and tried again."""
+"""Tests that slow and failing endpoints are avoided and later tried again."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class Fake:
-    """Stands for an endpoint of which only the record matters."""
+    """The identity and port of an endpoint."""
 
     def __init__(self, identity):
         self.identity = identity
@@ -26,7 +26,7 @@
 
 
 def choose(table, now, times=60):
-    """Return how often each endpoint is chosen, with nothing in flight."""
+    """Return how often each endpoint is chosen while none runs requests."""
     found = {}
     for _ in range(times):
         one = table.choose(
@@ -57,18 +57,18 @@
     ],
     ids=['slow', 'still', 'faded', 'usual', 'fast'],
 )
-def test_slow_endpoint_is_left_and_tried_again(seconds, age, used):
-    """Urgent requests go on being late at an endpoint that turned slow.
+def test_slow_endpoint_is_avoided_for_a_time(seconds, age, used):
+    """Guards against urgent requests that are late at a slow endpoint.
 
-    Sequence: an endpoint works ten times as long; its health is good.
-    Cause: a choice by requests in flight alone, of which there are none.
+    An endpoint becomes ten times as slow while its health check passes.  As no
+    requests are in flight, a choice by their number alone would still use it.
     """
     table = make_table()
     answer(table, 10.0, i_0=0.015, i_1=0.015, i_2=seconds)
     assert ('i-2' in choose(table, 10.0 + age)) is used
 
 
-def test_word_of_a_peer_counts_and_fades():
+def test_slowness_reported_by_a_peer_decays():
     table = make_table()
     answer(table, 10.0, i_0=0.015, i_1=0.015, i_2=0.015)
     table.find('i-2').quality.note_peer_slowness(slowness=9.0, now=10.0)
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ('failing', 'used'), [(('i-2',), False), (('i-0', 'i-1', 'i-2'), True)]
 )
-def test_failing_endpoint_is_left_unless_all_fail(failing, used):
+def test_failing_endpoint_is_avoided_unless_all_fail(failing, used):
     table = make_table()
     for _ in range(4):
         for name in failing:
@@ -88,7 +88,7 @@
     assert 'i-2' in choose(table, 100.0)
 
 
-def test_one_slow_answer_among_many_says_little():
+def test_single_slow_answer_does_not_count():
     one = quality.Quality()
     for _ in range(10):
         one.note_answer(seconds=0.015, now=10.0)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ('events', 'told'),
+    ('events', 'is_reported'),
     [
         ('', False),
         ('b', True),
@@ -109,12 +109,11 @@
         ('ee', False),
     ],
 )
-def test_peers_learn_of_an_endpoint_that_breaks_requests(events, told):
-    """Each entry loses a call of its own to the same endpoint.
+def test_broken_requests_are_reported_to_peers(events, is_reported):
+    """Guards against each gateway losing a call to the same endpoint.
 
-    Sequence: an endpoint resets connections with requests on them; the entry
-    that has lost one avoids it; the next entry sends it the next call.
-    Cause: entries told each other who is slow, not who fails.
+    An endpoint resets connections that carry requests.  The gateway that has
+    lost a request avoids it, but without reports the next one still uses it.
     """
     one = quality.Quality()
     for event in events:
@@ -125,8 +124,8 @@
                 one.note_success(now=0.0)
             case 'e':
                 one.note_error(now=0.0)
-    trouble = one.slowness_for_peers(usual=0.02, now=0.0)
-    assert (trouble > quality.MIN_SLOW_RATIO) is told
+    slowness = one.slowness_for_peers(usual=0.02, now=0.0)
+    assert (slowness > quality.MIN_SLOW_RATIO) is is_reported
     assert (
         one.slowness_for_peers(usual=0.02, now=30.0) < quality.MIN_SLOW_RATIO
     )
--- a/tests/gateway/test_restores.py
+++ b/tests/gateway/test_restores.py
@@ -1,4 +1,4 @@
-"""Tests of entries whose store comes back from an older copy."""
+"""Tests of gateways whose store is restored from an older copy."""
 
 import contextlib
 import random
@@ -24,7 +24,7 @@
 from . import site
 
 pytestmark = pytest.mark.anyio
-AGAIN = departures.RESTORE_WINDOW_SECONDS
+RESTORE_WINDOW = departures.RESTORE_WINDOW_SECONDS
 
 
 @pytest.fixture
@@ -33,7 +33,7 @@
 
 
 class Fake:
-    """Where an endpoint listens."""
+    """The identity and port of an endpoint."""
 
     def __init__(self, identity):
         self.identity = identity
@@ -56,8 +56,8 @@
     )
 
 
-class Followed:
-    """What one entry knows of endpoints, and a store that is restored."""
+class FollowerSite:
+    """The endpoint follower of one gateway, on a store that is restored."""
 
     def __init__(self):
         self.restored_at = float('-inf')
@@ -81,7 +81,7 @@
         )
 
     def restore(self, *records, revision=100):
-        """Come back from a copy that lists some endpoints."""
+        """Restore the store from a copy that lists some endpoints."""
         self.restored_at = virtual_time.now()
         self.follower.note_restore()
         self.source.records = list(records)
@@ -97,7 +97,7 @@
             tasks.cancel_scope.cancel()
 
     def open(self, identity='i-1'):
-        """Whether an endpoint may be given requests."""
+        """Whether an endpoint may be sent requests."""
         found = self.table.find(identity)
         return found is not None and found.is_open(now=virtual_time.now())
 
@@ -105,18 +105,17 @@
 # Endpoints
 
 
-@pytest.mark.parametrize('said', [True, False])
-async def test_endpoint_that_has_left_is_not_brought_back(said):
-    """Requests are lost to an endpoint that left ten seconds ago.
+@pytest.mark.parametrize('announced', [True, False])
+async def test_restored_list_does_not_bring_back_departed_endpoint(announced):
+    """Guards against requests to an endpoint that left ten seconds ago.
 
-    Sequence: an endpoint leaves, with or without a word; its entry goes.  The
-    store comes back from a copy of before, with the entry in it.
-    Cause: a list was taken at its word.
+    An endpoint leaves, announced or not, and its record is removed.  The store
+    is then restored from a copy that still has the record.
     """
-    one = Followed()
+    one = FollowerSite()
     one.source.records = [make_record(), make_record('i-2')]
     async with one.run():
-        if said:
+        if announced:
             one.follower.apply_changes(
                 changes(make_record(leaving=True), revision=5)
             )
@@ -124,20 +123,20 @@
         await anyio.sleep(10.0)
         one.restore(make_record(), make_record('i-2'))
         assert (one.open('i-1'), one.open('i-2')) == (False, True)
-        # Its entry lapses, as nobody writes it.
-        await anyio.sleep(AGAIN - 1.0)
+        # Its record lapses, as nobody renews it.
+        await anyio.sleep(RESTORE_WINDOW - 1.0)
         one.follower.apply_changes(changes(removed=('i-1',), revision=101))
-        await anyio.sleep(AGAIN)
+        await anyio.sleep(RESTORE_WINDOW)
         assert not one.open('i-1')
 
 
-async def test_endpoint_that_was_leaving_goes_on_leaving():
-    """An endpoint that has said that it leaves gets requests again."""
-    one = Followed()
+async def test_leaving_endpoint_stays_closed_after_restore():
+    """Guards against requests to an endpoint that announced its shutdown."""
+    one = FollowerSite()
     one.source.records = [make_record(leaving=True)]
     async with one.run():
         one.restore(make_record())
-        await anyio.sleep(2.0 * AGAIN)
+        await anyio.sleep(2.0 * RESTORE_WINDOW)
         assert one.table.find('i-1') is not None
         assert not one.open()
 
@@ -146,19 +145,19 @@
     ('seconds', 'writes', 'is_open'),
     [
         (0.1, True, True),
-        (AGAIN - 0.5, False, False),
-        (AGAIN + 0.5, False, True),
+        (RESTORE_WINDOW - 0.5, False, False),
+        (RESTORE_WINDOW + 0.5, False, True),
     ],
 )
-async def test_endpoint_that_was_taken_as_gone_and_lives_comes_back(
+async def test_live_endpoint_that_was_removed_comes_back(
     seconds, writes, is_open
 ):
-    """An endpoint that lives gets nothing for good.
+    """Guards against shutting out a live endpoint for good.
 
-    Sequence: its entry lapses though it lives, and it is taken as gone; after
-    the restore it writes its entry anew, or goes on with the one of the copy.
+    Its record lapses and it is removed.  After the restore it writes the
+    record again, or keeps the one of the copy, which counts after a while.
     """
-    one = Followed()
+    one = FollowerSite()
     one.source.records = [make_record()]
     async with one.run():
         one.follower.apply_changes(changes(removed=('i-1',), revision=6))
@@ -169,26 +168,26 @@
         assert one.open() is is_open
 
 
-async def test_endpoint_that_starts_anew_is_another_one():
-    one = Followed()
+async def test_restarted_endpoint_is_not_held_back():
+    one = FollowerSite()
     one.source.records = [make_record(born=1000)]
     async with one.run():
         one.follower.apply_changes(changes(removed=('i-1',), revision=6))
         one.restore(make_record(born=2000))
         assert one.open()
-        # A copy of before does not bring the older start back.
+        # An older copy does not bring the previous process back.
         one.restore(make_record(born=1000), revision=200)
         assert one.table.find('i-1').record.born == 2000
 
 
 @pytest.mark.parametrize('comes_back', [True, False])
-async def test_endpoint_that_the_copy_lacks_is_kept_for_a_moment(comes_back):
-    """All requests are refused after a restore.
+async def test_endpoint_missing_in_copy_is_kept_for_a_time(comes_back):
+    """Guards against refusing all requests after a restore.
 
-    Sequence: the endpoints have registered since the copy was made, so the
-    store lists none until they have written their entries again.
+    The endpoints registered after the copy was made, so the store lists none
+    until they have written their records again.
     """
-    one = Followed()
+    one = FollowerSite()
     one.source.records = [make_record()]
     async with one.run():
         one.restore()
@@ -201,13 +200,13 @@
         assert one.open() is comes_back
 
 
-async def test_watch_of_before_is_given_up():
-    """An entry learns of nothing until its watch has ended by itself.
+async def test_restore_cancels_running_watch():
+    """Guards against missing all changes until a watch times out after 25 s.
 
-    Sequence: a watch waits, for 25 s, at a store that is replaced by a copy
-    behind it; another call tells of the restore.
+    The store is restored while a watch waits on it, and another call shows
+    the restore.
     """
-    one = Followed()
+    one = FollowerSite()
     one.source.records = [make_record()]
     async with one.run():
         watching = one.follower._watching
@@ -217,7 +216,7 @@
         assert one.follower._watching is not watching
 
 
-async def test_departures_that_are_remembered_are_bounded():
+async def test_number_of_remembered_departures_is_limited():
     known = departures.Departures(
         restored_at=lambda: 0.0, clock=virtual_time.now
     )
@@ -231,7 +230,7 @@
 
 
 class Documents(configurations.ConfigurationSource):
-    """What the store shows of configurations; each is its version."""
+    """A store of configurations, each of which consists of its version."""
 
     def __init__(self, version):
         self.version = version
@@ -245,8 +244,8 @@
         return site.make_configuration(version=msgspec.json.decode(document))
 
 
-class Refreshed:
-    """What one entry knows of the configuration."""
+class RefresherSite:
+    """The configuration refresher of one gateway."""
 
     def __init__(self, version, position=0):
         self.restored_at = float('-inf')
@@ -282,15 +281,15 @@
 
 
 @pytest.mark.parametrize('older', [5, 7])
-async def test_version_that_a_restore_shows_is_not_taken_for_the_newest(older):
-    """A key that was taken away works for longer than it may.
+async def test_restored_version_does_not_count_as_newest(older):
+    """Guards against accepting a revoked key for too long.
 
-    Sequence: version 8 takes a key away and is acknowledged; before an entry
-    has read it, the store comes back from a copy with an older one, and the
-    operator writes 8 again two seconds later.
-    Cause: what the store shows was taken for the newest.
+    Version 8 revokes a key and is acknowledged.  Before a gateway has read it,
+    the store is restored from a copy with an older version, and the operator
+    writes version 8 again two seconds later.  Meanwhile the version in the
+    store must not count as the newest.
     """
-    async with Refreshed(7).run() as one:
+    async with RefresherSite(7).run() as one:
         assert one.age < 1.5
         one.restore(older)
         await anyio.sleep(2.0)
@@ -301,9 +300,9 @@
         assert one.held.version == 8
 
 
-async def test_version_in_force_is_confirmed_again_after_a_restore():
-    """All keys are refused for as long as nobody changes anything."""
-    async with Refreshed(7).run() as one:
+async def test_current_version_is_confirmed_after_restore():
+    """Guards against refusing all keys until the next change."""
+    async with RefresherSite(7).run() as one:
         one.restore(7)
         await anyio.sleep(refresh.RESTORED_SECONDS + 1.0)
         assert one.age < 1.5
@@ -311,22 +310,20 @@
 
 
 @pytest.mark.parametrize(('position', 'most'), [(0, 25), (1, 13), (20, 6)])
-async def test_entries_do_not_all_ask_for_what_is_not_there_yet(
-    position, most
-):
-    """Dozens of entries read the store ten times a second after a restore."""
-    async with Refreshed(7, position).run() as one:
+async def test_gateways_do_not_all_poll_for_missing_version(position, most):
+    """Guards against dozens of gateways that poll ten times a second."""
+    async with RefresherSite(7, position).run() as one:
         before = len(one.source.reads)
         one.restore(5)
         await anyio.sleep(10.0)
         assert 2 <= len(one.source.reads) - before <= most
 
 
-# Rows of entries
+# Rows of gateways
 
 
-class Rostered:
-    """An entry's row in a store that is restored."""
+class RegisteredGateway:
+    """A gateway with a row in a store that is restored."""
 
     def __init__(self, table, name):
         self.store = memory.MemoryStore(table=table, clock=virtual_time.now)
@@ -343,7 +340,7 @@
         self.store.on_restore(self.roster.note_restore)
 
     async def read(self):
-        """Call the store for something else, as entries do."""
+        """Read another object from the store, as gateways do."""
         key = store.Key(kind='config', name='main')
         await self.store.read(key=key)
 
@@ -357,32 +354,34 @@
 
 
 @pytest.mark.parametrize('away', [0.0, 3.0])
-async def test_rows_stand_again_soon_after_a_restore(away):
-    """An entry that starts after a restore finds no other one.
+async def test_gateways_register_again_after_restore(away):
+    """Guards against a new gateway that finds no others after a restore.
 
-    Sequence: entries have written their rows since the copy was made, and
-    look at the list once a minute.
+    The gateways wrote their rows after the copy was made, and read the list
+    only once a minute.
     """
-    stands = memory.MemoryStore().table
-    entries = [Rostered(stands, f'e-{number}') for number in range(20)]
-    empty = stands.copy()
+    table = memory.MemoryStore().table
+    gateways = [
+        RegisteredGateway(table, f'e-{number}') for number in range(20)
+    ]
+    empty = table.copy()
     async with anyio.create_task_group() as tasks:
-        for entry in entries:
-            tasks.start_soon(entry.roster.run)
+        for gateway in gateways:
+            tasks.start_soon(gateway.roster.run)
         await anyio.sleep(1.0)
-        assert len(list_rows(stands)) == 20
-        lists = stands.counts.lists
-        stands.restore(empty)
-        assert list_rows(stands) == []
-        for entry in entries:
-            await entry.read()
-        stands.faults.outage = bool(away)
+        assert len(list_rows(table)) == 20
+        lists = table.counts.lists
+        table.restore(empty)
+        assert list_rows(table) == []
+        for gateway in gateways:
+            await gateway.read()
+        table.faults.outage = bool(away)
         await anyio.sleep(away)
-        stands.faults.outage = False
+        table.faults.outage = False
         await anyio.sleep(
             peer_registry.MAX_REWRITE_DELAY_SECONDS
             + peer_registry.RETRY_INTERVAL_SECONDS
         )
-        assert len(list_rows(stands)) == 20
-        assert stands.counts.lists == lists
+        assert len(list_rows(table)) == 20
+        assert table.counts.lists == lists
         tasks.cancel_scope.cancel()
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of which requests are blocked, by the ends that they were under."""
+"""Tests of which requests are blocked after endpoints have ended."""
 
 import itertools
 import random
@@ -10,24 +10,24 @@
 from marigoldramp.gateway import endpoint_ends
 from marigoldramp.gateway import suspects
 
-FIRST = suspects.MIN_BLOCK_SECONDS
-WORD = suspects.PEER_REPORT_SECONDS
+MIN_BLOCK = suspects.MIN_BLOCK_SECONDS
+REPORT_DELAY = suspects.PEER_REPORT_SECONDS
 
 
-class Known:
-    """What one entry knows, with a clock that a test moves."""
+class SuspectsSite:
+    """The suspects of one gateway, with a clock that a test advances."""
 
-    def __init__(self, trier=False):
+    def __init__(self, prober=False):
         self.now = 1000.0
-        self.trier = trier
+        self.prober = prober
         self.blocked = []
         self.suspects = suspects.Suspects(
-            is_prober=lambda fingerprint: self.trier,
+            is_prober=lambda fingerprint: self.prober,
             on_block=self.blocked.append,
             clock=lambda: self.now,
         )
 
-    def end(self, endpoint, *fingerprints, wait=WORD):
+    def end(self, endpoint, *fingerprints, wait=REPORT_DELAY):
         self.suspects.note_end(
             endpoint_ends.End(
                 start=endpoint_ends.Start(identity=endpoint, born=1),
@@ -41,14 +41,14 @@
     def decide(self, fingerprint):
         return type(self.suspects.decide(fingerprint)).__name__
 
-    def tell(self, other):
+    def send_all(self, other):
         for suspicion in self.suspects.list_all():
             other.suspects.merge(suspicion, source='peer')
         other.suspects.refresh()
 
 
 @pytest.mark.parametrize(
-    ('story', 'verdicts'),
+    ('events', 'decisions'),
     [
         ([], 'Allowed Allowed'),
         ([('i-1', 'a')], 'Suspected Allowed'),
@@ -71,51 +71,51 @@
         ),
     ],
 )
-def test_request_is_blocked_by_ends_that_nothing_else_explains(
-    story, verdicts
+def test_request_is_blocked_if_nothing_else_explains_the_ends(
+    events, decisions
 ):
-    """What the ends of endpoints, and answers in between, come to.
+    """Guards against blocking harmless requests.
 
-    A sound request is blocked where each end counts alike: several run beside
-    the one that ends two endpoints, and one that is asked for all the time
-    beside every end.
+    An event is an end with the requests that were running, or an answer.  If
+    all ends counted alike, this would block requests that ran beside the one
+    that ended two endpoints, and a frequent one that is running at every end.
     """
-    known = Known()
-    for event in story:
+    known = SuspectsSite()
+    for event in events:
         if isinstance(event, tuple):
             known.end(*event)
         else:
             known.suspects.note_answer(event)
             known.now += 1.0
             known.suspects.refresh()
-    assert f'{known.decide("a")} {known.decide("b")}' == verdicts
+    assert f'{known.decide("a")} {known.decide("b")}' == decisions
 
 
-def test_answer_that_another_entry_has_seen_counts():
-    """A request that is answered all the time is blocked.
+def test_answer_seen_by_another_gateway_counts():
+    """Guards against blocking a request that is answered all the time.
 
-    Sequence: three endpoints of four end within 0.1 s by a request that goes
-    from one to the next; one of another content is so frequent that it is on
-    each of them.  The entry that sees it has not had an answer to it itself.
+    A harmful request ends three of four endpoints within 0.1 s.  A harmless
+    one is so frequent that it is running on each of them, and the gateway that
+    sees these ends has not had an answer to it itself.
     """
-    one, other = Known(), Known()
+    one, other = SuspectsSite(), SuspectsSite()
     other.suspects.note_answer('a')
     for known in (one, other):
         known.now += 60.0
     for endpoint in ('i-1', 'i-2', 'i-3'):
         one.end(endpoint, 'a', wait=0.0)
-    [told] = one.suspects.list_all()
-    assert other.suspects.merge(told, source='one')
-    [told] = other.suspects.list_all()
-    assert not one.suspects.merge(told, source='other')
-    assert not other.suspects.merge(told, source='one')
+    [sent] = one.suspects.list_all()
+    assert other.suspects.merge(sent, source='one')
+    [sent] = other.suspects.list_all()
+    assert not one.suspects.merge(sent, source='other')
+    assert not other.suspects.merge(sent, source='one')
     for known in (one, other):
-        known.now += 2.0 * WORD
+        known.now += 2.0 * REPORT_DELAY
         assert known.decide('a') == 'Suspected'
 
 
-def test_released_request_counts_anew():
-    known = Known()
+def test_release_resets_the_count_of_ends():
+    known = SuspectsSite()
     known.suspects.note_answer('a')
     known.now += 2.0 * suspects.RECENT_ANSWER_SECONDS
     known.end('i-1', 'a')
@@ -131,15 +131,15 @@
     assert known.decide('a') == 'Blocked'
 
 
-def test_answers_that_are_remembered_are_bounded():
-    known = Known()
+def test_number_of_remembered_answers_is_limited():
+    known = SuspectsSite()
     for number in range(suspects.MAX_RECENT_ANSWERS + 10):
         known.suspects.note_answer(str(number))
     assert len(known.suspects._answer_times) == suspects.MAX_RECENT_ANSWERS
 
 
-def test_same_endpoint_that_starts_again_ends_once_more():
-    known = Known()
+def test_ends_of_a_restarted_endpoint_count_separately():
+    known = SuspectsSite()
     for born in (1, 2):
         known.suspects.note_end(
             endpoint_ends.End(
@@ -148,32 +148,35 @@
                 fingerprints=('a',),
             )
         )
-        known.now += WORD
+        known.now += REPORT_DELAY
     assert known.decide('a') == 'Blocked'
 
 
-def test_decision_waits_for_the_word_of_others():
-    """A sound request is refused as word came 50 ms too late.
+def test_decision_waits_for_reports_of_other_gateways():
+    """Guards against refusing a harmless request as a report came 50 ms late.
 
-    Sequence: two endpoints end with the same two requests, one of each of two
-    entries.  Each knows only its own, and finds nothing else to explain it.
+    Two endpoints end with the same two requests on them, each sent by another
+    gateway.  Each gateway knows only its own request at first, and so nothing
+    else that explains the ends.
     """
-    one, other = Known(), Known()
+    one, other = SuspectsSite(), SuspectsSite()
     for endpoint in ('i-1', 'i-2'):
         one.end(endpoint, 'a', wait=0.0)
         other.end(endpoint, 'b', wait=0.0)
     assert one.decide('a') == other.decide('b') == 'Undecided'
-    one.tell(other)
-    other.tell(one)
+    one.send_all(other)
+    other.send_all(one)
     for known in (one, other):
-        known.now += WORD
+        known.now += REPORT_DELAY
         assert known.decide('a') == known.decide('b') == 'Suspected'
     assert one.blocked == other.blocked == []
 
 
-@pytest.mark.parametrize('seconds', [0.0, WORD, 2.0 * WORD, 30.0])
-def test_block_is_told_once(seconds):
-    known = Known()
+@pytest.mark.parametrize(
+    'seconds', [0.0, REPORT_DELAY, 2.0 * REPORT_DELAY, 30.0]
+)
+def test_block_is_reported_once(seconds):
+    known = SuspectsSite()
     known.end('i-1', 'a')
     known.end('i-2', 'a')
     known.end('i-3', 'a', wait=seconds)
@@ -182,25 +185,25 @@
 
 
 def test_block_doubles_with_each_further_end():
-    known = Known(trier=True)
+    known = SuspectsSite(prober=True)
     known.end('i-0', 'a')
     for number in range(1, 4):
         known.end(f'i-{number}', 'a', wait=0.0)
-        known.now += WORD
-        verdict = known.suspects.decide('a')
-        assert verdict.seconds == pytest.approx(
-            FIRST * 2.0 ** (number - 1) - WORD
+        known.now += REPORT_DELAY
+        decision = known.suspects.decide('a')
+        assert decision.seconds == pytest.approx(
+            MIN_BLOCK * 2.0 ** (number - 1) - REPORT_DELAY
         )
-        known.now += verdict.seconds + 0.001
+        known.now += decision.seconds + 0.001
         assert known.decide('a') == 'Suspected'
 
 
-def test_one_trial_at_a_time_when_a_block_is_over():
-    """As many endpoints end as copies come when a block is over."""
-    known = Known(trier=True)
+def test_one_probe_at_a_time_after_a_block():
+    """Guards against copies that end one endpoint each after a block."""
+    known = SuspectsSite(prober=True)
     known.end('i-1', 'a')
     known.end('i-2', 'a')
-    known.now += FIRST
+    known.now += MIN_BLOCK
     assert known.decide('a') == 'Suspected'
     known.suspects.begin('a')
     assert known.decide('a') == 'Blocked'
@@ -208,7 +211,7 @@
     assert known.decide('a') == 'Suspected'
 
 
-def test_only_one_entry_may_try():
+def test_only_one_gateway_may_probe():
     names = [f'entry-{number}' for number in range(40)]
     found = {
         suspects.choose_prober('a', random.Random(seed).sample(names, 40))
@@ -224,12 +227,12 @@
     [
         (1, suspects.RETENTION_SECONDS - 1.0, True),
         (1, suspects.RETENTION_SECONDS + 1.0, False),
-        (2, suspects.RETENTION_SECONDS + 1.9 * FIRST, True),
-        (2, suspects.RETENTION_SECONDS + 2.1 * FIRST, False),
+        (2, suspects.RETENTION_SECONDS + 1.9 * MIN_BLOCK, True),
+        (2, suspects.RETENTION_SECONDS + 2.1 * MIN_BLOCK, False),
     ],
 )
-def test_what_is_over_is_forgotten(ends, seconds, kept):
-    known = Known()
+def test_old_suspects_are_pruned(ends, seconds, kept):
+    known = SuspectsSite()
     for number in range(ends):
         known.end(f'i-{number}', 'a', wait=0.0)
     known.now += seconds
@@ -237,8 +240,8 @@
     assert len(known.suspects) == kept
 
 
-def test_number_of_suspects_is_bounded_and_the_blocked_ones_stay():
-    known = Known()
+def test_number_of_suspects_is_limited_and_blocked_ones_are_kept():
+    known = SuspectsSite()
     known.end('i-1', 'a')
     known.end('i-2', 'a')
     for number in range(100):
@@ -247,15 +250,15 @@
     assert known.decide('a') == 'Blocked'
 
 
-def test_word_that_was_long_on_its_way_changes_nothing():
-    """A request that was answered is suspected again.
+def test_delayed_report_changes_nothing():
+    """Guards against suspecting a request again after its answer.
 
-    Sequence: an end, an answer; a process that was frozen for seconds reads a
-    report from before, and takes the end for a new one.
+    A gateway that was frozen for seconds reads a report from before the
+    answer, in which the end seems to be a new one.
     """
-    one, other = Known(), Known()
+    one, other = SuspectsSite(), SuspectsSite()
     one.end('i-1', 'a')
-    one.tell(other)
+    one.send_all(other)
     [old] = one.suspects.list_all()
     other.suspects.note_answer('a')
     other.now += 5.0
@@ -275,13 +278,13 @@
 
 
 @hypothesis.given(events=EVENTS, order=strategies.permutations(range(6)))
-def test_entries_that_have_told_each_other_all_agree(events, order):
-    """Entries disagree for good on what is blocked.
+def test_gateways_agree_after_exchanging_all_suspects(events, order):
+    """Guards against gateways that disagree for good on what is blocked.
 
-    Each of three entries sees some ends and answers; then each tells each, in
-    any order, and twice.
+    Each of three gateways sees some ends and answers.  Then each sends all
+    its suspects to each other one, in any order, and twice.
     """
-    entries = [Known(), Known(), Known()]
+    entries = [SuspectsSite(), SuspectsSite(), SuspectsSite()]
     for fingerprint, endpoint, entry, seconds in events:
         if endpoint:
             entries[entry].end(endpoint, fingerprint, wait=0.0)
@@ -290,11 +293,11 @@
         for known in entries:
             known.now += seconds
     pairs = list(itertools.permutations(range(3), 2))
-    for place in [*order, *order]:
-        source, target = pairs[place]
-        entries[source].tell(entries[target])
+    for number in [*order, *order]:
+        source, target = pairs[number]
+        entries[source].send_all(entries[target])
     for known in entries:
-        known.now += WORD
+        known.now += REPORT_DELAY
     digests = {str(known.suspects.digest()) for known in entries}
     assert len(digests) == 1
     for fingerprint in ('a', 'b'):
