--- a/tests/gateway/test_endpoint_requests.py
+++ b/tests/gateway/test_endpoint_requests.py
@@ -1,6 +1,6 @@
 """Property test of endpoint selection under backoff and shutdown signals.
 
-Runs responses with these signals, changes of entries, disturbances of the
+Runs responses with these signals, changes of endpoint records, outages of the
 store and advances of the clock in any order.  Guards against requests to an
 endpoint that is in backoff or has reported its shutdown.
 """
@@ -28,7 +28,7 @@
 class EndpointSignalsMachine(stateful.RuleBasedStateMachine):
     """Compares the endpoint table with a model of the signals received.
 
-    The model identifies each start of an endpoint by ``(identity, born)``.
+    The model identifies each process of an endpoint by ``(identity, born)``.
     """
 
     def __init__(self):
@@ -54,7 +54,7 @@
 
     @stateful.rule(identity=IDENTITIES, written=strategies.booleans())
     def register(self, identity, written):
-        """Report the entry of the current start, from a watch or a list."""
+        """Report the record of the current process, from a watch or a list."""
         born = self.latest_born.setdefault(identity, 1)
         self._put(make_record(identity, born), written)
 
@@ -65,25 +65,25 @@
         self.register(identity, True)
 
     @stateful.rule(identity=IDENTITIES)
-    def list_stale_entry(self, identity):
-        """Report the entry of the previous start, from a list that lags."""
+    def list_stale_record(self, identity):
+        """Report the record of the previous process, from an outdated list."""
         born = self.latest_born.get(identity, 1) - 1
         if born > 0:
             self._put(make_record(identity, born), False)
 
     @stateful.rule(identity=IDENTITIES)
     def lapse(self, identity):
-        """Remove an endpoint's entry from the store."""
+        """Remove an endpoint's record from the store."""
         self.presence.note_unlisted(identity)
 
     @stateful.rule()
-    def disturb_store(self):
+    def fail_store_call(self):
         """Report that the store did not answer a request."""
         self.presence.note_store_outage()
 
     @stateful.rule(seconds=strategies.floats(0.01, 3.0))
     def wait(self, seconds):
-        """Advance the clock and remove endpoints whose entries lapsed."""
+        """Advance the clock and remove endpoints whose records lapsed."""
         self.now += seconds
         self.presence.remove_lapsed()
 
@@ -134,7 +134,7 @@
 
 
 def make_record(identity, born):
-    """Return the record of one start of an endpoint."""
+    """Return the record of one process of an endpoint."""
     return deployment.EndpointRecord(
         identity=identity,
         service='notes',
@@ -150,8 +150,8 @@
 TestEndpointSignals = EndpointSignalsMachine.TestCase
 
 
-def test_backoff_outlasts_its_entry():
-    """Guards against a backoff that is lost when an entry lapses."""
+def test_backoff_outlasts_its_record():
+    """Guards against a backoff that is lost when a record lapses."""
     table = endpoints.EndpointTable(data_centre='one', random=random.Random(1))
     table.put(make_record('i-1', 1))
     table.find('i-1').note_backoff(seconds=3.0, now=100.0)
--- a/tests/gateway/test_endpoint_signals.py
+++ b/tests/gateway/test_endpoint_signals.py
@@ -57,9 +57,9 @@
 
 DECLINED = fake.decline(more=NOT_RUN + 'Retry-After: 60\r\n')
 FAILED = fake.answer(b'', 503, more='Retry-After: 60\r\n')
-#: Maximum number of requests from one entry to an endpoint in backoff, counted
-#: from half a second after the response that asked for the backoff.
-MOST_SENDS = 2
+#: Maximum number of requests from one gateway to an endpoint in backoff,
+#: counted from half a second after the response that asked for the backoff.
+MAX_SENDS = 2
 
 
 @pytest.mark.parametrize('route_kind', ROUTES)
@@ -86,7 +86,7 @@
             clock.offset += 10.0
         sends = len(unavailable.seen) - sends_before
         assert len(lines('sent during backoff')) == sends
-        assert sends <= MOST_SENDS
+        assert sends <= MAX_SENDS
         clock.offset += 60.0
         for _ in range(32):
             await site.call(running, 'POST', body=b'x')
@@ -110,7 +110,7 @@
 
 
 def lapse_and_relist(presence, record):
-    """Remove the endpoint's entry and write it again."""
+    """Remove the endpoint's record and write it again."""
     presence.note_unlisted(record.identity)
     presence.put_written(record)
 
--- a/tests/gateway/test_fingerprints.py
+++ b/tests/gateway/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Tests of telling whether two requests are the same."""
+"""Tests of the fingerprints of requests."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from marigoldramp.gateway import inbound
 
 
-def find(
+def compute(
     method=b'POST',
     target=b'/notes/1?q=2',
     host='notes.example',
@@ -41,4 +41,4 @@
     ],
 )
 def test_same_caller_and_content_share_a_fingerprint(more, same):
-    assert (find(**more) == find()) is same
+    assert (compute(**more) == compute()) is same
--- a/tests/gateway/test_suspect_exchange.py
+++ b/tests/gateway/test_suspect_exchange.py
@@ -1,8 +1,8 @@
-"""Tests of how entries come to know the same suspects, in virtual time.
+"""Tests of the exchange of suspects between gateways, in virtual time.
 
-The load is that of one caller that comes back with a request which ends its
-endpoint, each 0.3 s at any of 8 entries, while reports get lost, entries are
-cut off from the others and start anew.
+The load is one caller that retries a request which ends its endpoint, every
+0.3 s on average at any of 8 gateways.  Meanwhile reports are lost, and
+gateways are cut off from the others or restarted.
 """
 
 import os
@@ -20,15 +20,15 @@
 from . import site
 
 pytestmark = pytest.mark.anyio
-#: Seconds between two reports of an entry to a peer.
-PERIOD = 0.1
-#: Seconds of calm after which an entry counts as in touch with the others.
-CONTACT = 3.0
-#: How often a request may be sent by entries in touch, that long after it has
-#: ended three endpoints.
-MOST_SENDS = 3
-DELAY = 0.002
-#: Schedules of faults that are tried; `make test-long` tries more.
+#: Seconds between two reports of a gateway to a peer.
+REPORT_INTERVAL_SECONDS = 0.1
+#: Seconds after a fault from which a gateway counts as connected again.
+CALM_SECONDS = 3.0
+#: Limit of sends of a request by connected gateways, counted from that many
+#: seconds after it has ended three endpoints.
+MAX_SENDS = 3
+DELAY_SECONDS = 0.002
+#: Number of random fault schedules; `make test-long` runs more.
 SEEDS = 50 if os.environ.get('HYPOTHESIS_PROFILE') == 'long' else 3
 
 
@@ -38,23 +38,23 @@
 
 
 class Peers:
-    """The peers that one entry hears."""
+    """The peers that one gateway can reach."""
 
-    def __init__(self, entry, network):
-        self._entry = entry
+    def __init__(self, gateway, network):
+        self._gateway = gateway
         self._network = network
 
     def live(self):
         return [
             other.peer
-            for other in self._network.entries
-            if other is not self._entry
-            and self._network.reaches(self._entry, other)
+            for other in self._network.gateways
+            if other is not self._gateway
+            and self._network.can_reach(self._gateway, other)
         ]
 
 
-class Entry:
-    """What one entry knows of suspects, and its reports."""
+class Gateway:
+    """A gateway with its suspects and its reports."""
 
     def __init__(self, name, network):
         self.name = name
@@ -68,11 +68,11 @@
         self.start()
 
     def start(self):
-        """Start with nothing known."""
+        """Start, or restart, without any suspects."""
         self.suspects = suspects.Suspects(
             is_prober=lambda fingerprint: self.name
             == suspects.choose_prober(
-                fingerprint, [one.name for one in self.network.entries]
+                fingerprint, [one.name for one in self.network.gateways]
             ),
             on_block=lambda fingerprint: None,
             clock=virtual_time.now,
@@ -90,7 +90,7 @@
         self.network.tasks.start_soon(self._ask, self._scope)
 
     def end(self, endpoint, *fingerprints):
-        """Note that an endpoint has ended."""
+        """Record that an endpoint has ended."""
         self.suspects.note_end(
             endpoint_ends.End(
                 start=endpoint_ends.Start(identity=endpoint, born=0),
@@ -102,19 +102,19 @@
             self.exchange.note_change(fingerprint)
 
     def report(self):
-        """Report to all peers, as far as reports arrive."""
+        """Send a report to all peers, of which some may be lost."""
         report = site.make_report(
             self.name, suspect_news=self.exchange.make_update()
         )
         self.peer.report = report
-        for other in self.network.entries:
+        for other in self.network.gateways:
             if other is not self and self.network.delivers(self, other):
                 self.network.tasks.start_soon(self._deliver, other, report)
 
     async def run(self):
         """Report until cancelled."""
         while True:
-            await anyio.sleep(PERIOD)
+            await anyio.sleep(REPORT_INTERVAL_SECONDS)
             self.suspects.refresh()
             self.report()
 
@@ -123,7 +123,7 @@
             await self.exchange.run()
 
     async def _deliver(self, other, report):
-        await anyio.sleep(DELAY)
+        await anyio.sleep(DELAY_SECONDS)
         other.exchange.handle_report(report)
 
     def _report_soon(self):
@@ -134,114 +134,116 @@
 
     async def _fetch(self, peer):
         self.fetches += 1
-        await anyio.sleep(DELAY)
-        for other in self.network.entries:
-            if other.peer is peer and self.network.reaches(self, other):
+        await anyio.sleep(DELAY_SECONDS)
+        for other in self.network.gateways:
+            if other.peer is peer and self.network.can_reach(self, other):
                 return other.exchange.list_all()
         return None
 
 
 class Network:
-    """Entries that report to each other."""
+    """Gateways that report to each other over a faulty network."""
 
     def __init__(self, tasks, count, seed=1, loss=0.0):
         self.tasks = tasks
         self.random = random.Random(seed)
         self.loss = loss
         self.cut = set()
-        self.entries = []
+        self.gateways = []
         for number in range(count):
-            self.entries.append(Entry(f'entry-{number}', self))
-        for entry in self.entries:
-            tasks.start_soon(entry.run)
+            self.gateways.append(Gateway(f'entry-{number}', self))
+        for gateway in self.gateways:
+            tasks.start_soon(gateway.run)
 
-    def reaches(self, one, other):
+    def can_reach(self, one, other):
         return (one in self.cut) == (other in self.cut)
 
     def delivers(self, one, other):
-        return self.reaches(one, other) and self.random.random() >= self.loss
+        return self.can_reach(one, other) and self.random.random() >= self.loss
 
-    def knowing(self, fingerprint, verdict=suspects.Blocked):
+    def count_decisions(self, fingerprint, decision=suspects.Blocked):
         return sum(
-            isinstance(entry.suspects.decide(fingerprint), verdict)
-            for entry in self.entries
+            isinstance(gateway.suspects.decide(fingerprint), decision)
+            for gateway in self.gateways
         )
 
 
 @pytest.mark.parametrize(
-    ('seconds', 'knowing'),
+    ('seconds', 'blocked'),
     [(0.01, 0), (suspects.PEER_REPORT_SECONDS + 0.01, 12)],
 )
-async def test_all_know_within_a_tenth_of_a_second(seconds, knowing):
+async def test_all_gateways_block_within_a_tenth_of_a_second(seconds, blocked):
     async with anyio.create_task_group() as tasks:
         network = Network(tasks, 12)
-        network.entries[0].end('i-1', 'a')
-        network.entries[1].end('i-2', 'a')
+        network.gateways[0].end('i-1', 'a')
+        network.gateways[1].end('i-2', 'a')
         await anyio.sleep(seconds)
-        assert network.knowing('a') == knowing
-        assert network.knowing('a', suspects.Allowed) == 0
+        assert network.count_decisions('a') == blocked
+        assert network.count_decisions('a', suspects.Allowed) == 0
         tasks.cancel_scope.cancel()
 
 
-async def test_request_that_is_answered_anywhere_is_cleared_everywhere():
+async def test_answer_at_one_gateway_clears_a_request_at_all():
     async with anyio.create_task_group() as tasks:
         network = Network(tasks, 12)
-        network.entries[0].end('i-1', 'a')
+        network.gateways[0].end('i-1', 'a')
         await anyio.sleep(0.05)
-        network.entries[5].suspects.note_answer('a')
-        network.entries[5].exchange.note_change('a')
+        network.gateways[5].suspects.note_answer('a')
+        network.gateways[5].exchange.note_change('a')
         await anyio.sleep(0.05)
-        assert network.knowing('a', suspects.Allowed) == 12
+        assert network.count_decisions('a', suspects.Allowed) == 12
         tasks.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize('learns', ['those cut off', 'the others', 'both'])
-async def test_word_that_was_not_heard_is_fetched(learns):
-    """After a partition some entries send on what others have blocked.
+@pytest.mark.parametrize('seen_by', ['those cut off', 'the others', 'both'])
+async def test_missed_reports_are_made_up_by_fetching(seen_by):
+    """Guards against a request that some gateways do not block.
 
-    Sequence: four of twelve entries are cut off for longer than reports tell
-    of an end.  A request ends two endpoints meanwhile.
+    Four of twelve gateways are cut off for longer than reports mention an end.
+    Meanwhile a request ends two endpoints.
     """
     async with anyio.create_task_group() as tasks:
         network = Network(tasks, 12)
-        network.cut.update(network.entries[:4])
-        if learns != 'the others':
-            network.entries[0].end('i-1', 'a')
-            network.entries[0].end('i-2', 'a')
-        if learns != 'those cut off':
-            network.entries[9].end('i-3', 'a', 'b')
-            network.entries[9].end('i-4', 'a')
+        network.cut.update(network.gateways[:4])
+        if seen_by != 'the others':
+            network.gateways[0].end('i-1', 'a')
+            network.gateways[0].end('i-2', 'a')
+        if seen_by != 'those cut off':
+            network.gateways[9].end('i-3', 'a', 'b')
+            network.gateways[9].end('i-4', 'a')
         await anyio.sleep(suspect_exchange.REPORTING_SECONDS + 1.0)
         network.cut.clear()
         await anyio.sleep(suspect_exchange.MIN_DIFFERENCE_SECONDS + 0.5)
-        assert network.knowing('a') == 12
+        assert network.count_decisions('a') == 12
         await anyio.sleep(10.0)
-        digests = {str(one.suspects.digest()) for one in network.entries}
+        digests = {str(one.suspects.digest()) for one in network.gateways}
         assert len(digests) == 1
-        # All ask once or twice, and nobody asks for ever.
-        assert max(one.fetches for one in network.entries) <= 4
+        # Each fetches a few times and then stops.
+        assert max(one.fetches for one in network.gateways) <= 4
         tasks.cancel_scope.cancel()
 
 
-async def test_entry_that_starts_asks_one_and_is_asked_by_none():
-    """All entries ask an entry that has just started what it knows."""
+async def test_new_gateway_fetches_once_and_nobody_fetches_from_it():
+    """Guards against all gateways fetching from one that has just started."""
     async with anyio.create_task_group() as tasks:
         network = Network(tasks, 12)
-        network.entries[0].end('i-1', 'a')
-        network.entries[0].end('i-2', 'a')
+        network.gateways[0].end('i-1', 'a')
+        network.gateways[0].end('i-2', 'a')
         await anyio.sleep(suspect_exchange.REPORTING_SECONDS + 1.0)
-        network.entries[0].start()
+        network.gateways[0].start()
         await anyio.sleep(0.35)
-        assert network.knowing('a') == 12
+        assert network.count_decisions('a') == 12
         await anyio.sleep(5.0)
-        assert [one.fetches for one in network.entries] == [1] + [0] * 11
+        assert [one.fetches for one in network.gateways] == [1] + [0] * 11
         tasks.cancel_scope.cancel()
 
 
 class Caller:
-    """A caller that comes back with a request, and what it costs.
+    """A caller that retries a request which ends its endpoint.
 
-    :ivar sends: when it was sent, by whether its entry was in touch.
+    :ivar ends: times of the ends.
+    :ivar sends: times at which connected gateways sent the request.
+    :ivar refused: number of refusals.
     """
 
     def __init__(self, network):
@@ -255,13 +257,13 @@
         async with anyio.create_task_group() as tasks:
             while virtual_time.now() < end:
                 for _ in range(self.network.random.choice([1, 1, 1, 3])):
-                    entry = self.network.random.choice(self.network.entries)
-                    tasks.start_soon(self.ask, entry)
+                    gateway = self.network.random.choice(self.network.gateways)
+                    tasks.start_soon(self.ask, gateway)
                 await anyio.sleep(self.network.random.uniform(0.05, 0.6))
 
-    async def ask(self, entry):
-        """Ask one entry once; a place is free at once."""
-        known = entry.suspects
+    async def ask(self, gateway):
+        """Send the request to a gateway, where a slot is always free."""
+        known = gateway.suspects
         while isinstance(known.decide('a'), suspects.Undecided):
             await anyio.sleep(suspects.PEER_REPORT_SECONDS / 4.0)
         if isinstance(known.decide('a'), suspects.Blocked):
@@ -269,39 +271,39 @@
             return
         known.begin('a')
         now = virtual_time.now()
-        if now - entry.cut_until > CONTACT:
+        if now - gateway.cut_until > CALM_SECONDS:
             self.sends.append(now)
         await anyio.sleep(self.network.random.uniform(0.01, 0.2))
         known.finish('a')
         self.ends.append(virtual_time.now())
-        entry.end(f'i-{len(self.ends)}', 'a')
+        gateway.end(f'i-{len(self.ends)}', 'a')
 
     def late_sends(self):
-        """Return the sends that count against the bound."""
+        """Return the sends that count against the limit."""
         if len(self.ends) < 3:
             return []
         third = sorted(self.ends)[2]
-        return [at for at in self.sends if at > third + CONTACT]
+        return [at for at in self.sends if at > third + CALM_SECONDS]
 
 
 async def disturb(network, kinds):
-    """Cut entries off and start them anew, again and again."""
+    """Cut off or restart some gateways at random times, until cancelled."""
     while True:
         await anyio.sleep(network.random.uniform(0.5, 4.0))
         some = network.random.sample(
-            network.entries, network.random.randint(1, 5)
+            network.gateways, network.random.randint(1, 5)
         )
         match network.random.choice(kinds):
             case 'cut':
                 network.cut.update(some)
                 await anyio.sleep(network.random.uniform(0.1, 6.0))
                 network.cut.clear()
-                for entry in some:
-                    entry.cut_until = virtual_time.now()
+                for gateway in some:
+                    gateway.cut_until = virtual_time.now()
             case 'restart':
-                for entry in some:
-                    entry.start()
-                    entry.cut_until = virtual_time.now()
+                for gateway in some:
+                    gateway.start()
+                    gateway.cut_until = virtual_time.now()
 
 
 @pytest.mark.parametrize('seed', range(SEEDS))
@@ -315,12 +317,11 @@
         (0.2, ('cut', 'restart')),
     ],
 )
-async def test_request_that_comes_back_ends_few_endpoints(loss, kinds, seed):
-    """One request ends an endpoint at each entry that it reaches.
+async def test_retried_request_ends_few_endpoints(loss, kinds, seed):
+    """Guards against a request that ends an endpoint at each gateway.
 
-    Whatever happens to reports and entries meanwhile, it is sent three times
-    more at most by entries that were in touch, once all could know of the
-    third end.
+    Whatever faults occur, connected gateways send it at most three times more
+    once all of them could know of the third end.
     """
     async with anyio.create_task_group() as tasks:
         network = Network(tasks, 8, seed=seed, loss=loss)
@@ -330,4 +331,4 @@
         await caller.run(45.0)
         tasks.cancel_scope.cancel()
     assert caller.refused > 50
-    assert len(caller.late_sends()) <= MOST_SENDS
+    assert len(caller.late_sends()) <= MAX_SENDS
--- a/tests/gateway/test_suspect_storage.py
+++ b/tests/gateway/test_suspect_storage.py
@@ -24,7 +24,7 @@
 
 
 class CountingStore(site.FakeStore):
-    """A store that counts what it is asked."""
+    """A store that records the calls to it."""
 
     name = 'suspect_storage_test_store'
 
@@ -56,8 +56,8 @@
         return sorted(key.name for key in self.objects)
 
 
-class Entry:
-    """One entry that keeps, or only reads."""
+class Gateway:
+    """One gateway, which writes blocked requests if its position is 0."""
 
     def __init__(self, store, position=0):
         self.position = position
@@ -100,42 +100,42 @@
     ('position', 'ends', 'names'),
     [(0, 2, ['a']), (0, 1, []), (1, 2, [])],
 )
-async def test_first_entry_writes_what_is_blocked(position, ends, names):
+async def test_first_gateway_writes_blocked_requests(position, ends, names):
     store = CountingStore()
-    async with Entry(store, position).run() as entry:
-        await entry.block('a', ends)
+    async with Gateway(store, position).run() as gateway:
+        await gateway.block('a', ends)
         await anyio.sleep(CHECK_INTERVAL)
         assert store.names == names
 
 
-async def test_entry_that_starts_reads_what_is_blocked():
+async def test_new_gateway_reads_blocked_requests():
     store = CountingStore()
-    async with Entry(store).run() as entry:
-        await entry.block('a')
+    async with Gateway(store).run() as gateway:
+        await gateway.block('a')
         await anyio.sleep(CHECK_INTERVAL)
-    async with Entry(store).run() as entry:
+    async with Gateway(store).run() as gateway:
         await anyio.sleep(suspects.PEER_REPORT_SECONDS)
-        assert isinstance(entry.suspects.decide('a'), suspects.Blocked)
-        assert isinstance(entry.suspects.decide('b'), suspects.Allowed)
+        assert isinstance(gateway.suspects.decide('a'), suspects.Blocked)
+        assert isinstance(gateway.suspects.decide('b'), suspects.Allowed)
 
 
-async def test_row_of_a_request_that_was_answered_is_removed():
+async def test_row_of_an_answered_request_is_removed():
     store = CountingStore()
-    async with Entry(store).run() as entry:
-        await entry.block('a')
-        await entry.block('b')
+    async with Gateway(store).run() as gateway:
+        await gateway.block('a')
+        await gateway.block('b')
         await anyio.sleep(CHECK_INTERVAL)
-        entry.suspects.note_answer('a')
+        gateway.suspects.note_answer('a')
         await anyio.sleep(CHECK_INTERVAL)
         assert store.names == ['b']
 
 
-async def test_next_entry_keeps_what_the_first_one_wrote():
+async def test_next_gateway_takes_over_the_rows():
     store = CountingStore()
-    async with Entry(store).run() as first:
+    async with Gateway(store).run() as first:
         await first.block('a')
         await anyio.sleep(CHECK_INTERVAL)
-        async with Entry(store, position=1).run() as second:
+        async with Gateway(store, position=1).run() as second:
             await second.block('b')
             await anyio.sleep(CHECK_INTERVAL)
             assert store.names == ['a']
@@ -147,22 +147,22 @@
 
 
 @pytest.mark.parametrize('seconds', [0.0, 30.0])
-async def test_store_that_is_away_gets_it_later(seconds):
+async def test_rows_are_written_after_an_outage(seconds):
     store = CountingStore()
     store.away = True
-    async with Entry(store).run() as entry:
-        await entry.block('a')
+    async with Gateway(store).run() as gateway:
+        await gateway.block('a')
         await anyio.sleep(seconds)
         store.away = False
         await anyio.sleep(suspect_storage.RETRY_SECONDS + 2.0 * CHECK_INTERVAL)
         assert store.names == ['a']
 
 
-async def test_row_that_the_store_has_lost_is_written_again():
-    """A store that comes back from a copy has lost what was blocked."""
+async def test_lost_row_is_written_again():
+    """Guards against a row that is missing for good after a restore."""
     store = CountingStore()
-    async with Entry(store).run() as entry:
-        await entry.block('a')
+    async with Gateway(store).run() as gateway:
+        await gateway.block('a')
         await anyio.sleep(CHECK_INTERVAL)
         store.objects.clear()
         await anyio.sleep(
@@ -173,11 +173,11 @@
 
 async def test_row_is_written_again_at_once_after_a_restore():
     store = CountingStore()
-    async with Entry(store).run() as entry:
-        await entry.block('a')
+    async with Gateway(store).run() as gateway:
+        await gateway.block('a')
         await anyio.sleep(CHECK_INTERVAL)
         store.objects.clear()
-        entry.storage.note_restore()
+        gateway.storage.note_restore()
         await anyio.sleep(2.0 * CHECK_INTERVAL)
         assert store.names == ['a']
 
@@ -186,18 +186,18 @@
     'value',
     [b'', b'null', b'{"starts":"x"}', b'{"starts":[1.5]}', b'\xff', b'[]'],
 )
-async def test_row_that_cannot_be_read_hides_no_other(value):
+async def test_invalid_row_does_not_hide_others(value):
     store = CountingStore()
     store.put('a', value)
     store.put('b', msgspec.json.encode({'starts': [1, 2]}))
-    async with Entry(store).run() as entry:
+    async with Gateway(store).run() as gateway:
         await anyio.sleep(suspects.PEER_REPORT_SECONDS)
-        assert isinstance(entry.suspects.decide('a'), suspects.Allowed)
-        assert isinstance(entry.suspects.decide('b'), suspects.Blocked)
+        assert isinstance(gateway.suspects.decide('a'), suspects.Allowed)
+        assert isinstance(gateway.suspects.decide('b'), suspects.Blocked)
 
 
-async def test_nothing_is_asked_while_nothing_is_blocked():
+async def test_no_calls_to_the_store_while_nothing_is_blocked():
     store = CountingStore()
-    async with Entry(store).run():
+    async with Gateway(store).run():
         await anyio.sleep(600.0)
     assert store.calls == ['list']
