--- a/marigoldramp/gateway/departures.py
+++ b/marigoldramp/gateway/departures.py
@@ -2,7 +2,7 @@
 
 A store that is restored from a copy lists endpoints that have left since the
 copy was made.  Live endpoints soon write their records again; until then they
-cannot be told from those that have left.  A request to an endpoint that has
+cannot be distinguished from the others.  A request to an endpoint that has
 left is lost or, worse, runs at the new owner of its address.
 """
 
--- a/marigoldramp/gateway/discovery.py
+++ b/marigoldramp/gateway/discovery.py
@@ -155,7 +155,7 @@
                 self._watching.cancel()
 
     def note_restore(self) -> None:
-        """List the endpoints anew after the store was restored from a copy."""
+        """List the endpoints again after the store was restored."""
         self.presence.note_store_outage()
         if self._watching is not None:
             self._watching.cancel()
--- a/marigoldramp/gateway/quality.py
+++ b/marigoldramp/gateway/quality.py
@@ -115,8 +115,8 @@
 
     def is_slow_rank(self, *, now: float) -> bool:
         """Whether it slows its group down, by the pace that it reports."""
-        told = now - self._peer_pace_at <= MAX_PACE_AGE_SECONDS
-        pace = self._peer_pace if told else 1.0
+        is_recent = now - self._peer_pace_at <= MAX_PACE_AGE_SECONDS
+        pace = self._peer_pace if is_recent else 1.0
         return max(pace, self.reported_pace(now=now)) >= MIN_SLOW_PACE
 
     def error_rate(self, *, now: float) -> float:
@@ -154,10 +154,10 @@
 
     def slowness(self, *, usual: float, now: float) -> float:
         """Return its slowness as measured here or reported by peers."""
-        told = 1.0 + (self._peer_slowness - 1.0) * _decay(
+        reported = 1.0 + (self._peer_slowness - 1.0) * _decay(
             now - self._peer_slowness_at
         )
-        return max(self.measured_slowness(usual=usual, now=now), told)
+        return max(self.measured_slowness(usual=usual, now=now), reported)
 
 
 def _decay(age: float) -> float:
--- a/marigoldramp/gateway/suspects.py
+++ b/marigoldramp/gateway/suspects.py
@@ -6,13 +6,12 @@
 gateway.  So gateways share what they have seen, by a fingerprint of the
 caller and the content.
 
-The process of an endpoint is said to end, and each request that was running
-on it becomes a suspect, as harmless requests run beside the harmful one.  The
-next events tell them apart: a harmless request is answered, which clears it;
-the harmful one ends a second endpoint and is blocked.  If two suspects were
-both running at the same two ends, a third end decides.  A request that was
-answered shortly before needs more ends still: it may be sent so often that it
-is running at every end.
+An end is the termination of an endpoint's process.  At an end, each request
+that was running on the endpoint becomes a suspect, as harmless requests run
+beside the harmful one.  An answer clears a suspect; a second end blocks it.
+If another suspect was running at the same two ends, a third end decides.  A
+request that was answered shortly before the first end needs four, as it may be
+sent so often that it is running at every end.
 """
 
 import dataclasses
@@ -274,7 +273,7 @@
         return Blocked(ends=ends, seconds=PROBE_RETRY_AFTER_SECONDS)
 
     def refresh(self) -> None:
-        """Start blocks that are due and end those whose reason is gone."""
+        """Start blocks that are due and lift those no longer justified."""
         now = self._clock()
         blocked = {
             fingerprint
@@ -300,7 +299,7 @@
             self._on_block(fingerprint)
 
     def _is_cause(self, suspect: _Suspect) -> bool:
-        """Whether the request has enough ends to count as their cause."""
+        """Whether the request, and not another one, counts as the cause."""
         starts = suspect.list_counted_starts()
         if len(starts) < self._thresholds.unshared:
             return False
@@ -386,7 +385,7 @@
             extra=logs.fields(fingerprint=fingerprint, source=source),
         )
 
-    def merge(self, suspicion: SuspectRecord, *, source: str) -> bool:
+    def merge(self, record: SuspectRecord, *, source: str) -> bool:
         """Merge the state of a suspect that another gateway has sent.
 
         A delayed report makes an end look more recent than it is, so the
@@ -397,25 +396,25 @@
         """
         now = self._clock()
         self._digest = None
-        suspect = self._suspects.setdefault(suspicion.fingerprint, _Suspect())
+        suspect = self._suspects.setdefault(record.fingerprint, _Suspect())
         before = suspect.count()
-        for end in suspicion.ends:
+        for end in record.ends:
             at = now - max(0.0, end.age)
             suspect.ends[end.start] = min(at, suspect.ends.get(end.start, at))
         _drop_oldest(suspect.ends)
         suspect.answered_at = max(
-            suspect.answered_at, _to_time(now, suspicion.answered_age)
+            suspect.answered_at, _to_time(now, record.answered_age)
         )
         suspect.released_at = max(
-            suspect.released_at, _to_time(now, suspicion.released_age)
+            suspect.released_at, _to_time(now, record.released_age)
         )
         if not suspect.ends:
-            del self._suspects[suspicion.fingerprint]
+            del self._suspects[record.fingerprint]
             return False
         was_recently_answered = suspect.was_recently_answered()
-        self._apply_earlier_answer(suspicion.fingerprint, suspect)
+        self._apply_earlier_answer(record.fingerprint, suspect)
         if before and not suspect.count():
-            self._note_cleared(suspicion.fingerprint, source)
+            self._note_cleared(record.fingerprint, source)
         self._drop_excess()
         return suspect.was_recently_answered() and not was_recently_answered
 
--- a/tests/gateway/test_closed_endpoints.py
+++ b/tests/gateway/test_closed_endpoints.py
@@ -76,7 +76,7 @@
 async def test_waiting_request_is_refused_when_its_endpoints_close():
     """Guards against keeping a request that can no longer be served."""
     made, table = make_dispatcher(0.0)
-    place = await made.acquire(make_demand(1.0))
+    slot = await made.acquire(make_demand(1.0))
     refused = []
 
     async def wait():
@@ -86,7 +86,7 @@
         tasks.start_soon(wait)
         await anyio.sleep(0.5)
         table.find('i-0').note_backoff(seconds=3.0, now=virtual_time.now())
-        made.release(place)
+        made.release(slot)
         await anyio.sleep(0.0)
         await anyio.sleep(0.0)
         assert [one.reason for one in refused] == [
@@ -106,8 +106,8 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve)
-        place = await made.acquire(make_demand(1.0))
-    assert isinstance(place, dispatch.Slot)
+        slot = await made.acquire(make_demand(1.0))
+    assert isinstance(slot, dispatch.Slot)
 
 
 async def test_request_waits_while_all_endpoints_leave():
@@ -124,5 +124,5 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(replace)
-        place = await made.acquire(make_demand(1.0))
-    assert place.endpoint.identity == 'i-1'
+        slot = await made.acquire(make_demand(1.0))
+    assert slot.endpoint.identity == 'i-1'
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -86,7 +86,7 @@
                 tasks.start_soon(self.detector.note_break, run)
 
     @property
-    def blamed(self):
+    def reported(self):
         return sorted(one for end in self.ends for one in end.fingerprints)
 
 
@@ -103,7 +103,7 @@
     """
     one = DetectorSite(answer)
     await one.lose_all(one.begin('a', 'b', 'c'))
-    assert one.blamed == (['a', 'b', 'c'] if ended else [])
+    assert one.reported == (['a', 'b', 'c'] if ended else [])
     assert one.checks == 1
     assert len(one.ends) == ended
 
@@ -124,7 +124,7 @@
     """
     one = DetectorSite(*answers)
     await one.lose_all(one.begin('a'))
-    assert one.blamed == (['a'] if ended else [])
+    assert one.reported == (['a'] if ended else [])
 
 
 @pytest.mark.parametrize(
@@ -153,11 +153,11 @@
         one.detector.note_gone('i-1')
     else:
         one.detector.note_restart('i-1')
-    assert one.blamed == (['a'] if ended else [])
+    assert one.reported == (['a'] if ended else [])
 
 
 @pytest.mark.parametrize('before', ['leaving', 'removed'])
-async def test_end_of_an_endpoint_that_leaves_blames_nothing(before):
+async def test_end_of_a_leaving_endpoint_is_not_reported(before):
     one = DetectorSite(leaving=before == 'leaving')
     runs = one.begin('a', 'b')
     if before == 'removed':
@@ -188,20 +188,20 @@
     assert one.ends == []
     await anyio.sleep(0.05)
     assert await one.detector.note_break(second)
-    assert one.blamed == ['first', 'second']
+    assert one.reported == ['first', 'second']
 
 
 @pytest.mark.parametrize(
-    ('seconds', 'blamed'), [(0.5, ['left', 'lost']), (1.5, ['lost'])]
+    ('seconds', 'reported'), [(0.5, ['left', 'lost']), (1.5, ['lost'])]
 )
-async def test_request_whose_caller_just_left_is_reported(seconds, blamed):
+async def test_request_whose_caller_just_left_is_reported(seconds, reported):
     """Guards against ignoring a request whose caller left during the end."""
     one = DetectorSite()
     left, lost = one.begin('left', 'lost')
     one.detector.abandon(left)
     await anyio.sleep(seconds)
     await one.detector.note_break(lost)
-    assert one.blamed == blamed
+    assert one.reported == reported
 
 
 async def test_refused_connection_of_another_request_proves_an_end():
@@ -209,7 +209,7 @@
     [left] = one.begin('left')
     one.detector.abandon(left)
     await one.detector.note_refused(one.endpoint)
-    assert one.blamed == ['left']
+    assert one.reported == ['left']
     assert one.checks == 0
 
 
@@ -218,7 +218,7 @@
     answered, lost = one.begin('answered', 'lost')
     one.detector.finish(answered)
     await one.detector.note_break(lost)
-    assert one.blamed == ['lost']
+    assert one.reported == ['lost']
 
 
 async def test_old_states_are_pruned():
