--- a/marigoldramp/gateway/discovery.py
+++ b/marigoldramp/gateway/discovery.py
@@ -13,7 +13,7 @@
 from . import listings
 from . import presence as presence_module
 
-#: Duration of one watch (a long poll of the store).
+#: Limit of the duration of one watch, a long poll of the store.
 MAX_WATCH_SECONDS = 25.0
 #: Seconds between two attempts of the first gateway while the store is
 #: unavailable; others wait longer.
--- a/marigoldramp/gateway/endpoints.py
+++ b/marigoldramp/gateway/endpoints.py
@@ -28,8 +28,9 @@
 #: more often.
 REMOTE_PENALTY_SMALL = 0.05
 REMOTE_PENALTY_LARGE = 1.5
-#: Endpoints in the own data centre from which the larger penalty applies.
-MIN_LARGE_ENDPOINTS = 8
+#: Number of endpoints of a service in the own data centre from which the large
+#: penalty applies.
+MIN_LOCAL_ENDPOINTS = 8
 #: Size of the random sample that is compared for one request, from all data
 #: centres and again from the own one.  The load that other gateways cause is
 #: known with a delay: if all endpoints were compared, many gateways would
@@ -269,7 +270,7 @@
             return _choose_isolated(suspect, found)
         penalty = REMOTE_PENALTY_SMALL
         compared = self._sample(found)
-        if sum(self._is_local(one) for one in known) >= MIN_LARGE_ENDPOINTS:
+        if sum(self._is_local(one) for one in known) >= MIN_LOCAL_ENDPOINTS:
             penalty = REMOTE_PENALTY_LARGE
             compared += self._sample(list(filter(self._is_local, found)))
         return min(
--- a/marigoldramp/gateway/suspect_exchange.py
+++ b/marigoldramp/gateway/suspect_exchange.py
@@ -27,7 +27,7 @@
 #: Seconds for which a peer's digest must have differed before its suspects are
 #: fetched, as recent changes may still be on their way.
 MIN_DIFFERENCE_SECONDS = 0.5
-#: Seconds before suspects are fetched again from the same peer.
+#: Seconds before suspects are fetched again from a peer that still differs.
 REFETCH_SECONDS = 5.0
 #: Seconds between two checks for a peer to fetch from.
 CHECK_INTERVAL_SECONDS = 0.1
