--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -16,7 +16,7 @@
 MAX_SENDS = 3
 KINDS = {'idempotent': '/safe/1', 'once': '/once/1', 'stream': '/stream/1'}
 CONTENT = fleets.ENDS_ENDPOINT
-ENTRIES = ('entry-0', 'entry-1', 'entry-2')
+GATEWAYS = ('entry-0', 'entry-1', 'entry-2')
 
 
 @pytest.mark.parametrize('kind', KINDS)
@@ -31,8 +31,8 @@
     async with fleets.run_fleet(monkeypatch) as fleet:
         counted_from = None
         for number in range(8):
-            entry = f'entry-{number % 3}'
-            await fleet.call(entry, KINDS[kind], CONTENT)
+            gateway = f'entry-{number % 3}'
+            await fleet.call(gateway, KINDS[kind], CONTENT)
             await fleet.revive()
             await fleet.exchange()
             if counted_from is None and len(fleet.ends) >= 3:
@@ -56,8 +56,8 @@
             await fleet.revive()
         await fleet.exchange()
         before = len(fleet.sends)
-        for entry in ENTRIES:
-            got = await fleet.call(entry, KINDS[kind], CONTENT)
+        for gateway in GATEWAYS:
+            got = await fleet.call(gateway, KINDS[kind], CONTENT)
             assert got.status == 503
             assert float(got.headers['retry-after']) > 500.0
             assert b'"reason":"ends_endpoints"' in got.body
@@ -82,13 +82,13 @@
     async with fleets.run_fleet(monkeypatch, endpoints=8) as fleet:
         await end_one_endpoint(fleet)
         async with anyio.create_task_group() as tasks:
-            for entry in ENTRIES:
-                tasks.start_soon(fleet.call, entry, '/once/1', CONTENT)
+            for gateway in GATEWAYS:
+                tasks.start_soon(fleet.call, gateway, '/once/1', CONTENT)
         assert len(fleet.ends) == 2
         await fleet.revive()
         await fleet.exchange()
-        for entry in ENTRIES:
-            got = await fleet.call(entry, '/once/1', CONTENT)
+        for gateway in GATEWAYS:
+            got = await fleet.call(gateway, '/once/1', CONTENT)
             assert got.status == 503
         assert len(fleet.ends) == 2
 
@@ -108,8 +108,8 @@
 
         async def call(number):
             body = b'%s %d' % (fleets.HELD, number)
-            entry = ENTRIES[number % 3]
-            answers.append(await fleet.call(entry, '/safe/1', body))
+            gateway = GATEWAYS[number % 3]
+            answers.append(await fleet.call(gateway, '/safe/1', body))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(fleet.keep_reviving)
@@ -124,12 +124,12 @@
         assert not any(b'ends_endpoints' in got.body for got in answers)
         await fleet.revive()
         await fleet.exchange()
-        for entry in ENTRIES:
+        for gateway in GATEWAYS:
             for number in range(6):
                 body = b'%s %d' % (fleets.HELD, number)
-                got = await fleet.call(entry, '/safe/1', body)
+                got = await fleet.call(gateway, '/safe/1', body)
                 assert got.status == 200
-            got = await fleet.call(entry, '/safe/1', CONTENT)
+            got = await fleet.call(gateway, '/safe/1', CONTENT)
             assert got.status in (502, 503)
         assert len(fleet.ends) <= suspects.Thresholds().shared
 
@@ -157,8 +157,8 @@
             await fleet.exchange()
 
 
-@pytest.mark.parametrize('learns', ENTRIES[1:])
-async def test_gateways_agree_after_a_partition(monkeypatch, learns):
+@pytest.mark.parametrize('seen_by', GATEWAYS[1:])
+async def test_gateways_agree_after_a_partition(monkeypatch, seen_by):
     """Guards against a request that ends as many endpoints after a partition.
 
     One gateway is cut off from the others.  It, or another one, sees a request
@@ -167,12 +167,12 @@
     async with fleets.run_fleet(monkeypatch, endpoints=6) as fleet:
         fleet.cut.add('entry-1')
         while len(fleet.ends) < 2:
-            await fleet.call(learns, '/safe/1', CONTENT)
+            await fleet.call(seen_by, '/safe/1', CONTENT)
             await fleet.revive()
         fleet.cut.clear()
         await fleet.exchange()
-        for entry in ENTRIES:
-            got = await fleet.call(entry, '/safe/1', CONTENT)
+        for gateway in GATEWAYS:
+            got = await fleet.call(gateway, '/safe/1', CONTENT)
             assert got.status == 503
         assert len(fleet.ends) == 2
 
@@ -208,13 +208,13 @@
                 key.kind == suspect_storage.KIND for key in fleet.store.objects
             )
         )
-        for entry in ENTRIES:
-            await fleet.kill_entry(entry)
-        for entry in ENTRIES:
-            await fleet.start_entry(entry)
-            known = fleet.entries[entry].gateway.containment.suspects
+        for gateway in GATEWAYS:
+            await fleet.kill_entry(gateway)
+        for gateway in GATEWAYS:
+            await fleet.start_entry(gateway)
+            known = fleet.entries[gateway].gateway.containment.suspects
             await fleet.until(known.list_blocked)
-            got = await fleet.call(entry, '/safe/1', CONTENT)
+            got = await fleet.call(gateway, '/safe/1', CONTENT)
             assert got.status == 503
         assert len(fleet.ends) == 2
 
@@ -228,7 +228,7 @@
     elsewhere.  Not only new requests have to be checked then.
     """
     async with fleets.run_fleet(monkeypatch, entries=1, endpoints=1) as fleet:
-        entry = fleet.entries['entry-0'].gateway
+        gateway = fleet.entries['entry-0'].gateway
         answers = []
 
         async def send_copy():
@@ -243,16 +243,16 @@
             for _ in range(3):
                 tasks.start_soon(send_copy)
             await fleet.until(
-                lambda: entry.dispatcher.count_waiting('notes') == 3
+                lambda: gateway.dispatcher.count_waiting('notes') == 3
             )
             [fingerprint] = {
                 name
                 for name, held in (
-                    entry.containment._cancellations._calls.items()
+                    gateway.containment._cancellations._calls.items()
                 )
                 if len(held) == 3
             }
-            entry.containment.suspects.merge(
+            gateway.containment.suspects.merge(
                 suspects.SuspectRecord(
                     fingerprint=fingerprint,
                     ends=(
