--- a/marigoldramp/gateway/boot_clock.py
+++ b/marigoldramp/gateway/boot_clock.py
@@ -1,8 +1,8 @@
 """The clock that measures how old data is.
 
 The usual monotonic clock stands still while an instance is suspended.  An
-age counted by it would be too small by that time: a revoked key, for example,
-would still be accepted after the instance wakes.
+age measured with it would lack the time of suspension: a revoked key, for
+example, would still be accepted after the instance wakes.
 """
 
 import time
--- a/marigoldramp/gateway/containment.py
+++ b/marigoldramp/gateway/containment.py
@@ -80,7 +80,7 @@
     def hold(
         self, call: calls.Call
     ) -> contextlib.AbstractContextManager[anyio.CancelScope]:
-        """Return a scope for a call that is cancelled if it gets blocked."""
+        """Return a scope for a call, cancelled if the call is blocked."""
         return self._cancellations.track(call)
 
     def decide(self, call: calls.Call) -> suspects.Decision:
@@ -140,7 +140,7 @@
         self._detector.note_restart(identity)
 
     def refresh(self) -> None:
-        """Start and end blocks by what has been reported."""
+        """Start blocks that are due and lift those no longer justified."""
         self.suspects.refresh()
 
     def prune(self) -> None:
--- a/marigoldramp/gateway/departures.py
+++ b/marigoldramp/gateway/departures.py
@@ -10,7 +10,8 @@
 
 from . import deployment
 
-#: Seconds for which a departure is remembered; longer than the age of a copy.
+#: Seconds for which a departure is remembered; must exceed the age of the copy
+#: that a store is restored from.
 RETENTION_SECONDS = 60.0
 #: Seconds after a restore within which live endpoints have written their
 #: records again and the records of others have lapsed: three heartbeats and
@@ -37,7 +38,7 @@
         self._left_at: dict[tuple[str, int], float] = {}
         self._deferred: dict[str, deployment.EndpointRecord] = {}
 
-    def note(self, record: deployment.EndpointRecord) -> None:
+    def note_departure(self, record: deployment.EndpointRecord) -> None:
         """Record that an endpoint has left."""
         now = self._clock()
         self._left_at[record.identity, record.born] = now
@@ -57,10 +58,11 @@
         self._deferred[record.identity] = record
         return True
 
-    def note_change(self, identity: str) -> None:
-        """Record that a record has been written or removed since the restore.
+    def forget_deferred(self, identity: str) -> None:
+        """Forget the deferred record of an endpoint, and its departure.
 
-        The deferred record and the departure no longer matter then.
+        They no longer matter once the endpoint's record has been written or
+        removed since the restore.
         """
         deferred = self._deferred.pop(identity, None)
         if deferred is not None:
@@ -72,7 +74,7 @@
             return []
         due = list(self._deferred.values())
         for record in due:
-            self.note_change(record.identity)
+            self.forget_deferred(record.identity)
         return due
 
     def _is_recently_restored(self) -> bool:
--- a/marigoldramp/gateway/discovery.py
+++ b/marigoldramp/gateway/discovery.py
@@ -27,7 +27,7 @@
 #: leave together take one call to the store and not one each.
 BATCH_SECONDS = 0.5
 #: Seconds between two checks whether peers still follow the store for this
-#: gateway, and before a peer is asked again that did not answer.
+#: gateway, and before a peer that did not answer is asked again.
 PEER_POLL_SECONDS = 0.2
 #: Seconds before a peer is asked again after a list that was not settled.
 UNSETTLED_RETRY_SECONDS = 0.5
@@ -192,7 +192,7 @@
         self._on_change()
 
     def apply_listing(self, listing: listings.Listing) -> None:
-        """Apply a complete list; what is missing in it is listed no longer."""
+        """Apply a complete list; treat missing endpoints as unlisted."""
         for record in listing.records:
             self.presence.put_listed(record)
         self.presence.drop_unlisted(listing.records)
--- a/marigoldramp/gateway/endpoint_ends.py
+++ b/marigoldramp/gateway/endpoint_ends.py
@@ -34,7 +34,8 @@
 #: out to have ended.  An unresponsive endpoint is listed until it has missed
 #: three heartbeats, and the list itself lags.
 RETENTION_SECONDS = 6.0
-#: The same if the end shows by a refused connection, which it does at once.
+#: Maximum age of the lost requests that are reported if a refused connection
+#: shows the end, as it does so at once.
 REFUSED_WINDOW_SECONDS = 1.0
 
 
@@ -98,7 +99,7 @@
     :ivar lost: requests that got no whole answer, oldest first.
     :ivar unresponsive: whether a new connection timed out after one broke.
     :ivar ended: whether the process is known to have ended.
-    :ivar checked: set when the running check is done; ``None`` without one.
+    :ivar checked: set when the running check is done; ``None`` if none runs.
     """
 
     __slots__ = ('running', 'lost', 'unresponsive', 'ended', 'checked')
--- a/marigoldramp/gateway/endpoints.py
+++ b/marigoldramp/gateway/endpoints.py
@@ -21,20 +21,21 @@
 MAX_PAUSE_SECONDS = 4.0
 #: Pause after an endpoint has declined a request because it is full.
 FULL_PAUSE_SECONDS = 0.1
-#: Penalty of an endpoint in another data centre, in requests in flight.  If
-#: the own data centre has few endpoints of the service, it only breaks ties.
-#: If it has many, most requests stay there: this saves traffic between data
-#: centres, and fewer gateways compete for each endpoint, whose reports come
-#: more often.
+#: Penalty of an endpoint in another data centre, in requests in flight.  The
+#: small one, for a gateway whose data centre has few endpoints of the service,
+#: only breaks ties.  The large one keeps most requests in the data centre.
+#: This saves traffic between data centres, and fewer gateways compete for
+#: each endpoint, whose reports come more often.
 REMOTE_PENALTY_SMALL = 0.05
 REMOTE_PENALTY_LARGE = 1.5
-#: Number of endpoints of a service in the own data centre from which the large
-#: penalty applies.
+#: Number of endpoints of a service in the gateway's data centre from which the
+#: large penalty applies.
 MIN_LOCAL_ENDPOINTS = 8
 #: Size of the random sample that is compared for one request, from all data
-#: centres and again from the own one.  The load that other gateways cause is
-#: known with a delay: if all endpoints were compared, many gateways would
-#: choose the same few at once, and these would decline while others are free.
+#: centres and again from the gateway's own.  The load that other gateways
+#: cause is known with a delay: if all endpoints were compared, many gateways
+#: would choose the same few at once, and these would decline while others are
+#: free.
 MAX_COMPARED_ENDPOINTS = 16
 #: Maximum number of removed endpoints whose backoffs are kept.
 MAX_KEPT_BACKOFFS = 1024
@@ -46,8 +47,8 @@
     """The state of one endpoint.
 
     :ivar own_requests: number of requests of this gateway that run on it.
-    :ivar suspects: how many of them are suspects, by fingerprint, see
-        :mod:`.suspects`.
+    :ivar suspects: number of these requests that are suspects, by fingerprint,
+        see :mod:`.suspects`.
     :ivar peer_requests: number of requests on it that other gateways report.
     :ivar resting_until: end of the pause after a failure or a refusal.
     :ivar backoff_until: end of the backoff that the endpoint requested.
@@ -194,7 +195,7 @@
 
         A restarted endpoint gets a new :class:`Endpoint`, as the state of the
         previous process does not apply to it.  Requests that were sent to the
-        previous process are still counted off the old object.
+        previous process are counted on the old object until they finish.
         """
         known = self._by_identity.get(record.identity)
         if known is not None and record.born > known.record.born:
@@ -298,8 +299,8 @@
         whole load.
         """
         known = self.list_for_service(service)
-        usual = [one for one in known if not one.quality.is_slow_rank(now=now)]
-        return usual if 2 * len(usual) > len(known) else known
+        fast = [one for one in known if not one.quality.is_slow_rank(now=now)]
+        return fast if 2 * len(fast) > len(known) else known
 
     def find_median_seconds(self, service: str) -> float:
         """Return the median time to an answer of a service, 0 if unknown."""
@@ -313,14 +314,14 @@
     def _score(
         self,
         endpoint: Endpoint,
-        room: float,
+        slot_count: float,
         usual: float,
         now: float,
         remote_penalty: float,
     ) -> float:
         """Return the relative expected duration of a request; lowest is best.
 
-        :param room: number of requests that the endpoint may run at once.
+        :param slot_count: how many requests the endpoint may run at once.
         :param usual: median time to an answer of the service.
         :param remote_penalty: penalty of an endpoint in another data centre.
         """
@@ -328,7 +329,7 @@
         penalty += ERROR_PENALTY * endpoint.quality.error_rate(now=now)
         penalty += self._random.random() * 0.1
         slowness = endpoint.quality.slowness(usual=usual, now=now)
-        return (1.0 + endpoint.in_flight + penalty) * slowness / room
+        return (1.0 + endpoint.in_flight + penalty) * slowness / slot_count
 
 
 def _choose_isolated(suspect: str, found: list[Endpoint]) -> Endpoint | None:
--- a/marigoldramp/gateway/listings.py
+++ b/marigoldramp/gateway/listings.py
@@ -29,8 +29,8 @@
     :ivar removed: identities of endpoints that are no longer listed.
     :ivar newest: revision of the newest of these changes.  Gateways compare it
         instead of ``revision``, which also grows with changes of other
-        objects: a gateway with the same endpoints would seem to have missed a
-        change.
+        objects: by that, a gateway with the same endpoints would seem to have
+        missed a change.
     """
 
     records: tuple[deployment.EndpointRecord, ...]
--- a/marigoldramp/gateway/presence.py
+++ b/marigoldramp/gateway/presence.py
@@ -71,7 +71,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether endpoints that the table lacks have left."""
+        """Whether endpoints that the table lacks are known to have left."""
         return self._clock() >= self._outage_until and not self._unlisted
 
     def note_store_outage(self) -> None:
@@ -98,7 +98,7 @@
 
     def put_written(self, record: deployment.EndpointRecord) -> None:
         """Add or update an endpoint whose record has just been written."""
-        self._departures.note_change(record.identity)
+        self._departures.forget_deferred(record.identity)
         self._put(record)
 
     def note_leaving(self, record: deployment.EndpointRecord) -> None:
@@ -188,7 +188,7 @@
 
         It is kept around an outage of the store unless it is leaving.
         """
-        self._departures.note_change(identity)
+        self._departures.forget_deferred(identity)
         now = self._clock()
         if now < self._outage_until and identity not in self._leaving:
             self._unlisted.setdefault(identity, self._outage_until)
@@ -200,7 +200,7 @@
         self._leaving.discard(identity)
         removed = self._table.remove(identity)
         if removed is not None:
-            self._departures.note(removed.record)
+            self._departures.note_departure(removed.record)
             logging.info('endpoint gone', extra=logs.fields(endpoint=identity))
             self._on_gone(identity)
 
--- a/marigoldramp/gateway/quality.py
+++ b/marigoldramp/gateway/quality.py
@@ -9,13 +9,14 @@
 SMOOTHING_WEIGHT = 0.25
 #: Half-life of the estimates.
 HALF_LIFE_SECONDS = 4.0
-#: Lower limit of the usual latency that an endpoint's own is compared to.
+#: Lower limit of the usual latency when an endpoint's latency is compared to
+#: it.
 MIN_USUAL_SECONDS = 0.005
 #: Latency, as a multiple of the usual one, from which an endpoint counts as
 #: slow.  Smaller ratios can result from requests of different size.
 MIN_SLOW_RATIO = 1.8
 #: Weight of the break rate in the slowness that is reported to peers; one
-#: broken request among successes makes an endpoint 2.5 times as slow.
+#: broken request among successes multiplies the reported slowness by 2.5.
 BREAK_RATE_WEIGHT = 6.0
 #: Limit of the ratio of latencies.
 MAX_SLOWNESS = 20.0
@@ -146,8 +147,8 @@
     def slowness_for_peers(self, *, usual: float, now: float) -> float:
         """Return the slowness to report to peers, including broken requests.
 
-        Otherwise each gateway would have to lose a request of its own to an
-        endpoint that breaks some, and many requests cannot be repeated.
+        Otherwise each gateway would avoid an endpoint that breaks requests
+        only after losing one of its own, and many cannot be repeated.
         """
         failing = 1.0 + BREAK_RATE_WEIGHT * self.break_rate(now=now)
         return failing * self.measured_slowness(usual=usual, now=now)
--- a/marigoldramp/gateway/retry_budget.py
+++ b/marigoldramp/gateway/retry_budget.py
@@ -3,7 +3,7 @@
 The operator limits the retries of all gateways together in any time window to
 a share of the requests plus a fixed extra.  Each gateway spends that share of
 its *own* requests, and the extra divided by the number of gateways that may be
-alive.  If only gateways within reach counted, both halves of a partition would
+alive.  If only reachable gateways counted, each half of a partition would
 spend the whole extra.
 """
 
@@ -87,7 +87,7 @@
         return True
 
     def _find_limit(self, service: str, now: float) -> float:
-        """Return the number of retries that this gateway may send a window."""
+        """Return how many retries this gateway may send in a window."""
         bounds = self._bounds()
         requests = self._requests.setdefault(service, _Window())
         own = requests.count(since=now - bounds.window)
--- a/marigoldramp/gateway/suspect_exchange.py
+++ b/marigoldramp/gateway/suspect_exchange.py
@@ -120,8 +120,8 @@
                 # next regular report.
                 self._queue(suspect.fingerprint)
         own = self._known.digest()
-        # Only a gateway that knows no more than its peer fetches, so that not
-        # all fetch from one that has just started.
+        # A gateway does not fetch from a peer that knows fewer suspects, so
+        # that not all gateways fetch from one that has just started.
         if news.digest == own or news.digest.known < own.known:
             self._differs_since.pop(report.instance, None)
             return
@@ -135,7 +135,7 @@
         return SuspectList(suspicions=self._known.list_all())
 
     async def run(self) -> None:
-        """Fetch suspects from peers that differ, until cancelled."""
+        """Fetch suspects from peers whose digests differ, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_SECONDS)
             peer = self._find_differing_peer()
--- a/marigoldramp/gateway/suspect_storage.py
+++ b/marigoldramp/gateway/suspect_storage.py
@@ -21,7 +21,7 @@
 #: Seconds between two attempts of the first gateway while the store is
 #: unavailable; others wait longer.
 RETRY_SECONDS = 1.0
-#: Seconds between two checks for changes to write, which are local.
+#: Seconds between two checks for changes to write; a check makes no calls.
 CHECK_INTERVAL_SECONDS = 0.5
 #: Seconds between two reads of the list by the gateway that writes it, as a
 #: store that is restored from a copy may have lost rows.
--- a/marigoldramp/gateway/suspects.py
+++ b/marigoldramp/gateway/suspects.py
@@ -9,9 +9,9 @@
 An end is the termination of an endpoint's process.  At an end, each request
 that was running on the endpoint becomes a suspect, as harmless requests run
 beside the harmful one.  An answer clears a suspect; a second end blocks it.
-If another suspect was running at the same two ends, a third end decides.  A
-request that was answered shortly before the first end needs four, as it may be
-sent so often that it is running at every end.
+If another suspect was running at the same two ends, a third end is needed.  A
+request that was answered shortly before the first end is blocked only after
+four, as it may be sent so often that it is running at every end.
 """
 
 import dataclasses
@@ -40,8 +40,8 @@
 #: Seconds for which a suspect is remembered, in addition to twice the duration
 #: of its block.
 RETENTION_SECONDS = 600.0
-#: Retry-After for a request whose block is over, while another gateway is the
-#: one to probe it or another probe is running.
+#: Retry-After for a request whose block is over but which this gateway may not
+#: send: another gateway is its prober, or a probe is running already.
 PROBE_RETRY_AFTER_SECONDS = 5.0
 #: Limit of remembered suspects, at 64 bytes each and 24 for each end.
 MAX_SUSPECTS = 512
@@ -58,7 +58,8 @@
     :ivar unshared: if no other suspect was running at all of these ends.  A
         single end may be a coincidence.
     :ivar shared: if another suspect was running at all of them.
-    :ivar recently_answered: if it was answered shortly before the first one.
+    :ivar recently_answered: if it was answered shortly before the first of
+        these ends.
     """
 
     unshared: int = 2
@@ -113,7 +114,7 @@
 ):
     """The part of a report to peers that is about suspects.
 
-    :ivar digest: digest of all suspects that the sender knows.
+    :ivar digest: digest of the suspects that the sender knows.
     :ivar suspicions: suspects whose state changed recently.
     """
 
@@ -145,7 +146,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Undecided:
-    """Reports of other gateways are still to decide on the request.
+    """The decision has to wait for reports of other gateways.
 
     :ivar seconds: time after which they will have arrived.
     """
@@ -193,7 +194,7 @@
         return max(self.answered_at, self.released_at, *self.ends.values())
 
     def block_seconds(self, threshold: int) -> float:
-        """Return the duration of a block after its last end, 0 for none.
+        """Return how long it is blocked from its last end, 0 if it is not.
 
         :param threshold: lowest number of ends that can block a request.
         """
@@ -211,7 +212,7 @@
     than once.
 
     :param is_prober: whether this gateway is the one that may send a given
-        request once more after its block.
+        request again after its block, as a probe.
     :param on_block: called with the fingerprint of a request when its block
         starts.
     """
--- a/tests/gateway/test_closed_endpoints.py
+++ b/tests/gateway/test_closed_endpoints.py
@@ -29,16 +29,16 @@
         table.put(site.make_record(one, slots=slots))
         found = table.find(one.identity)
         found.note_backoff(seconds=seconds, now=virtual_time.now())
-    made = dispatch.Dispatcher(
+    dispatcher = dispatch.Dispatcher(
         table=table,
         clock=virtual_time.now,
         slots=lambda endpoint: endpoint.record.slots,
         random=random.Random(1),
     )
-    return made, table
+    return dispatcher, table
 
 
-def make_demand(seconds):
+def make_slot_request(seconds):
     return dispatch.SlotRequest(
         service='notes', priority=1, start_by=virtual_time.now() + seconds
     )
@@ -56,8 +56,8 @@
     backoffs, seconds, opens_at
 ):
     """Guards against waiting for a backoff that outlasts the deadline."""
-    made, _ = make_dispatcher(*backoffs)
-    refused = await made.acquire(make_demand(seconds))
+    dispatcher, _ = make_dispatcher(*backoffs)
+    refused = await dispatcher.acquire(make_slot_request(seconds))
     assert virtual_time.now() == 0.0
     assert refused.reason is outcomes.Reason.CANNOT_END_IN_TIME
     latest = opens_at + dispatch.MAX_RETRY_JITTER_SECONDS
@@ -66,53 +66,54 @@
 
 async def test_refused_callers_get_different_retry_delays():
     """Guards against callers that retry together and are refused again."""
-    made, _ = make_dispatcher(3.0)
+    dispatcher, _ = make_dispatcher(3.0)
     delays = {
-        (await made.acquire(make_demand(1.0))).retry_after for _ in range(8)
+        (await dispatcher.acquire(make_slot_request(1.0))).retry_after
+        for _ in range(8)
     }
     assert len(delays) == 8
 
 
 async def test_waiting_request_is_refused_when_its_endpoints_close():
     """Guards against keeping a request that can no longer be served."""
-    made, table = make_dispatcher(0.0)
-    slot = await made.acquire(make_demand(1.0))
+    dispatcher, table = make_dispatcher(0.0)
+    slot = await dispatcher.acquire(make_slot_request(1.0))
     refused = []
 
     async def wait():
-        refused.append(await made.acquire(make_demand(2.0)))
+        refused.append(await dispatcher.acquire(make_slot_request(2.0)))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(wait)
         await anyio.sleep(0.5)
         table.find('i-0').note_backoff(seconds=3.0, now=virtual_time.now())
-        made.release(slot)
+        dispatcher.release(slot)
         await anyio.sleep(0.0)
         await anyio.sleep(0.0)
         assert [one.reason for one in refused] == [
             outcomes.Reason.CANNOT_END_IN_TIME
         ]
-        assert not made.count_waiting('notes')
+        assert not dispatcher.count_waiting('notes')
 
 
 @pytest.mark.parametrize('backoffs', [(0.5,), (3.0, 0.5)])
 async def test_request_waits_for_an_endpoint_that_opens_in_time(backoffs):
     """Guards against refusing a request that can run after a backoff."""
-    made, _ = make_dispatcher(*backoffs)
+    dispatcher, _ = make_dispatcher(*backoffs)
 
     async def serve():
         await anyio.sleep(0.6)
-        made.assign_all_slots()
+        dispatcher.assign_all_slots()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(serve)
-        slot = await made.acquire(make_demand(1.0))
+        slot = await dispatcher.acquire(make_slot_request(1.0))
     assert isinstance(slot, dispatch.Slot)
 
 
 async def test_request_waits_while_all_endpoints_leave():
     """Guards against refusing a request before a replacement registers."""
-    made, table = make_dispatcher(0.0)
+    dispatcher, table = make_dispatcher(0.0)
     one = fake.FakeEndpoint(identity='i-0', scripts=[])
     table.put(site.make_record(one, leaving=True))
 
@@ -120,9 +121,9 @@
         await anyio.sleep(0.6)
         new = fake.FakeEndpoint(identity='i-1', scripts=[])
         table.put(site.make_record(new))
-        made.assign_all_slots()
+        dispatcher.assign_all_slots()
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(replace)
-        slot = await made.acquire(make_demand(1.0))
+        slot = await dispatcher.acquire(make_slot_request(1.0))
     assert slot.endpoint.identity == 'i-1'
--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -21,12 +21,13 @@
 
 @pytest.mark.parametrize('kind', KINDS)
 async def test_request_that_ends_endpoints_is_sent_to_few(monkeypatch, kind):
-    """Guards against an outage for as long as a caller retries one request.
+    """Guards against an outage that lasts while a caller retries one request.
 
     The request ends the endpoint that starts to run it.  The caller retries
-    through any gateway, which sends the request to the next endpoint: eight in
-    a row end, each time the service has recovered.  Each retry has a new
-    identifier, so gateways have to recognize the request by its content.
+    through any gateway, which sends the request to the next endpoint: eight
+    endpoints end, one after each recovery of the service.  Each retry has a
+    new identifier, so gateways have to recognize the request by its content
+    and remember what earlier attempts did.
     """
     async with fleets.run_fleet(monkeypatch) as fleet:
         counted_from = None
@@ -159,7 +160,7 @@
 
 @pytest.mark.parametrize('seen_by', GATEWAYS[1:])
 async def test_gateways_agree_after_a_partition(monkeypatch, seen_by):
-    """Guards against a request that ends as many endpoints after a partition.
+    """Guards against a request that ends two more endpoints after a partition.
 
     One gateway is cut off from the others.  It, or another one, sees a request
     end two endpoints, and its reports are lost.  The partition then heals.
@@ -225,7 +226,7 @@
     """Guards against waiting copies that end one more endpoint each.
 
     Copies of a request wait at a gateway while other copies end two endpoints
-    elsewhere.  Not only new requests have to be checked then.
+    elsewhere.  Waiting requests have to be checked then, too.
     """
     async with fleets.run_fleet(monkeypatch, entries=1, endpoints=1) as fleet:
         gateway = fleet.entries['entry-0'].gateway
@@ -272,9 +273,9 @@
     'fault', [fake.cut, fake.truncate, fake.garbage, fake.decline()]
 )
 async def test_failures_of_a_live_endpoint_block_nothing(fault):
-    """Guards against blocking a request as faulty endpoints broke its answers.
+    """Guards against blocking a request because endpoints were faulty.
 
-    A broken connection must not count as the end of the endpoint.
+    A broken connection to a live endpoint must not count as its end.
     """
     one = fake.FakeEndpoint(identity='i-1', scripts=[fault])
     config = site.make_configuration(site.make_route(timeout=0.5))
--- a/tests/gateway/test_endpoint_ends.py
+++ b/tests/gateway/test_endpoint_ends.py
@@ -117,7 +117,7 @@
     ],
 )
 async def test_port_that_closes_after_its_connections(answers, ended):
-    """Guards against treating the first opened connection as proof of life.
+    """Guards against missing an end because a connection could be opened.
 
     An ending process closes its connections first and its port later.  A
     connection that is opened in between waits unaccepted and is reset.
--- a/tests/gateway/test_restores.py
+++ b/tests/gateway/test_restores.py
@@ -96,7 +96,7 @@
             yield self
             tasks.cancel_scope.cancel()
 
-    def open(self, identity='i-1'):
+    def is_open(self, identity='i-1'):
         """Whether an endpoint may be sent requests."""
         found = self.table.find(identity)
         return found is not None and found.is_open(now=virtual_time.now())
@@ -122,12 +122,12 @@
         one.follower.apply_changes(changes(removed=('i-1',), revision=6))
         await anyio.sleep(10.0)
         one.restore(make_record(), make_record('i-2'))
-        assert (one.open('i-1'), one.open('i-2')) == (False, True)
+        assert (one.is_open('i-1'), one.is_open('i-2')) == (False, True)
         # Its record lapses, as nobody renews it.
         await anyio.sleep(RESTORE_WINDOW - 1.0)
         one.follower.apply_changes(changes(removed=('i-1',), revision=101))
         await anyio.sleep(RESTORE_WINDOW)
-        assert not one.open('i-1')
+        assert not one.is_open('i-1')
 
 
 async def test_leaving_endpoint_stays_closed_after_restore():
@@ -138,7 +138,7 @@
         one.restore(make_record())
         await anyio.sleep(2.0 * RESTORE_WINDOW)
         assert one.table.find('i-1') is not None
-        assert not one.open()
+        assert not one.is_open()
 
 
 @pytest.mark.parametrize(
@@ -155,7 +155,8 @@
     """Guards against shutting out a live endpoint for good.
 
     Its record lapses and it is removed.  After the restore it writes the
-    record again, or keeps the one of the copy, which counts after a while.
+    record again, or its record in the copy stays listed and counts after the
+    restore window.
     """
     one = FollowerSite()
     one.source.records = [make_record()]
@@ -165,7 +166,7 @@
         if writes:
             one.follower.apply_changes(changes(make_record(), revision=101))
         await anyio.sleep(seconds)
-        assert one.open() is is_open
+        assert one.is_open() is is_open
 
 
 async def test_restarted_endpoint_is_not_held_back():
@@ -174,7 +175,7 @@
     async with one.run():
         one.follower.apply_changes(changes(removed=('i-1',), revision=6))
         one.restore(make_record(born=2000))
-        assert one.open()
+        assert one.is_open()
         # An older copy does not bring the previous process back.
         one.restore(make_record(born=1000), revision=200)
         assert one.table.find('i-1').record.born == 2000
@@ -191,13 +192,13 @@
     one.source.records = [make_record()]
     async with one.run():
         one.restore()
-        assert one.open()
+        assert one.is_open()
         await anyio.sleep(presence.KEEP_UNLISTED_SECONDS - 0.5)
-        assert one.open()
+        assert one.is_open()
         if comes_back:
             one.follower.apply_changes(changes(make_record(), revision=101))
         await anyio.sleep(1.0)
-        assert one.open() is comes_back
+        assert one.is_open() is comes_back
 
 
 async def test_restore_cancels_running_watch():
@@ -221,7 +222,7 @@
         restored_at=lambda: 0.0, clock=virtual_time.now
     )
     for number in range(1000):
-        known.note(make_record(f'i-{number}'))
+        known.note_departure(make_record(f'i-{number}'))
         await anyio.sleep(1.0)
     assert len(known._left_at) <= departures.RETENTION_SECONDS + 1
 
@@ -330,14 +331,14 @@
         self.peers = peers.PeerTable(
             instance=name, clock=virtual_time.now, random=random.Random(1)
         )
-        self.roster = peer_registry.PeerRegistry(
+        self.registry = peer_registry.PeerRegistry(
             store=self.store,
             table=self.peers,
             instance=name,
             address=outbound.Address(host=name, port=7),
             random=random.Random(name),
         )
-        self.store.on_restore(self.roster.note_restore)
+        self.store.on_restore(self.registry.note_restore)
 
     async def read(self):
         """Read another object from the store, as gateways do."""
@@ -367,7 +368,7 @@
     empty = table.copy()
     async with anyio.create_task_group() as tasks:
         for gateway in gateways:
-            tasks.start_soon(gateway.roster.run)
+            tasks.start_soon(gateway.registry.run)
         await anyio.sleep(1.0)
         assert len(list_rows(table)) == 20
         lists = table.counts.lists
--- a/tests/gateway/test_suspect_exchange.py
+++ b/tests/gateway/test_suspect_exchange.py
@@ -24,8 +24,8 @@
 REPORT_INTERVAL_SECONDS = 0.1
 #: Seconds after a fault from which a gateway counts as connected again.
 CALM_SECONDS = 3.0
-#: Limit of sends of a request by connected gateways, counted from that many
-#: seconds after it has ended three endpoints.
+#: Limit of sends of a request by connected gateways, counted from
+#: ``CALM_SECONDS`` after it has ended three endpoints.
 MAX_SENDS = 3
 DELAY_SECONDS = 0.002
 #: Number of random fault schedules; `make test-long` runs more.
@@ -87,7 +87,7 @@
         self.peer.report = None
         self._scope.cancel()
         self._scope = anyio.CancelScope()
-        self.network.tasks.start_soon(self._ask, self._scope)
+        self.network.tasks.start_soon(self._run_exchange, self._scope)
 
     def end(self, endpoint, *fingerprints):
         """Record that an endpoint has ended."""
@@ -102,7 +102,7 @@
             self.exchange.note_change(fingerprint)
 
     def report(self):
-        """Send a report to all peers, of which some may be lost."""
+        """Send a report to all peers; some may not receive it."""
         report = site.make_report(
             self.name, suspect_news=self.exchange.make_update()
         )
@@ -118,7 +118,7 @@
             self.suspects.refresh()
             self.report()
 
-    async def _ask(self, scope):
+    async def _run_exchange(self, scope):
         with scope:
             await self.exchange.run()
 
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -153,7 +153,7 @@
 
 
 def test_decision_waits_for_reports_of_other_gateways():
-    """Guards against refusing a harmless request as a report came 50 ms late.
+    """Guards against refusing a harmless request when a report is 50 ms late.
 
     Two endpoints end with the same two requests on them, each sent by another
     gateway.  Each gateway knows only its own request at first, and so nothing
