--- a/marigoldramp/gateway/containment.py
+++ b/marigoldramp/gateway/containment.py
@@ -77,7 +77,7 @@
         )
         metrics.gauge('suspected_requests', lambda: float(len(self.suspects)))
 
-    def hold(
+    def track(
         self, call: calls.Call
     ) -> contextlib.AbstractContextManager[anyio.CancelScope]:
         """Return a scope for a call, cancelled if the call is blocked."""
--- a/marigoldramp/gateway/forwarding.py
+++ b/marigoldramp/gateway/forwarding.py
@@ -42,7 +42,7 @@
     """Serves requests of callers.
 
     :ivar running: number of requests being served.
-    :ivar asked_at: arrival time of the last request.
+    :ivar last_request_at: arrival time of the last request.
     """
 
     __slots__ = (
@@ -56,7 +56,7 @@
         '_metrics',
         '_on_wrong_endpoint',
         'running',
-        'asked_at',
+        'last_request_at',
     )
 
     def __init__(
@@ -82,12 +82,12 @@
         self._metrics = metrics
         self._on_wrong_endpoint = on_wrong_endpoint
         self.running = 0
-        self.asked_at = float('-inf')
+        self.last_request_at = float('-inf')
 
     async def handle(self, exchange: inbound.Exchange) -> None:
         """Serve one request up to its final response."""
         self.running += 1
-        self.asked_at = exchange.head.arrived
+        self.last_request_at = exchange.head.arrived
         call: calls.Call | None = None
         outcome = 'caller_left'
         try:
@@ -105,7 +105,7 @@
     async def _serve(self, call: calls.Call) -> str:
         """Serve a call until its deadline; return the outcome to log."""
         self._budget.note_request(call.service)
-        with self._containment.hold(call):
+        with self._containment.track(call):
             with anyio.move_on_after(call.deadline - self._clock()):
                 return await self._run_attempts(call)
             return await self._end_at_deadline(call)
--- a/marigoldramp/gateway/program.py
+++ b/marigoldramp/gateway/program.py
@@ -530,7 +530,7 @@
                 resign=self.elector.stop,
                 listener=self._call_listener,
                 connections=self._connections,
-                last_request_at=lambda: self.forwarder.asked_at,
+                last_request_at=lambda: self.forwarder.last_request_at,
                 clock=self._clock,
             ),
             grace=self.settings.bounds.grace,
--- a/tests/gateway/fleet.py
+++ b/tests/gateway/fleet.py
@@ -116,7 +116,7 @@
 
     :ivar sends: requests that arrived at an endpoint, in order.
     :ivar ends: endpoints that have ended, in order.
-    :ivar entries: running gateways by instance.
+    :ivar gateways: running gateways by instance.
     :ivar sound_customers: customers whose requests never end an endpoint.
     :ivar cut: instances that are partitioned from all other gateways.
     :ivar go_on: set to let requests with ``HELD`` in the body finish.
@@ -125,7 +125,7 @@
     def __init__(self, *, tasks, configuration):
         self.sends = []
         self.ends = []
-        self.entries = {}
+        self.gateways = {}
         self.endpoints = []
         self.sound_customers = set()
         self.cut = set()
@@ -147,18 +147,18 @@
         await self._tasks.start(endpoint.run)
         self.endpoints.append(endpoint)
 
-    async def start_entry(self, instance):
+    async def start_gateway(self, instance):
         """Start a gateway, which may have run before."""
         scope = anyio.CancelScope()
         self._scopes[instance] = scope
-        await self._tasks.start(self._run_entry, instance, scope)
-        entry = self.entries[instance]
+        await self._tasks.start(self._run_gateway, instance, scope)
+        entry = self.gateways[instance]
         await entry.until(lambda: entry.gateway.call_port)
         await entry.until(entry.gateway.is_ready)
 
-    async def kill_entry(self, instance):
+    async def kill_gateway(self, instance):
         """End a gateway at once, so that it loses its state."""
-        entry = self.entries.pop(instance)
+        entry = self.gateways.pop(instance)
         self._scopes.pop(instance).cancel()
         await entry.ended.wait()
 
@@ -169,7 +169,7 @@
         for _ in gone:
             await self.add_endpoint()
         self._revision += 1
-        for entry in self.entries.values():
+        for entry in self.gateways.values():
             self._show(entry)
 
     async def keep_reviving(self):
@@ -182,9 +182,9 @@
 
     async def exchange(self):
         """Wait for a report from each gateway to each reachable one."""
-        since = next(iter(self.entries.values())).gateway._clock()
-        for instance, entry in self.entries.items():
-            for other in self.entries:
+        since = next(iter(self.gateways.values())).gateway._clock()
+        for instance, entry in self.gateways.items():
+            for other in self.gateways:
                 if other == instance or self.cut & {instance, other}:
                     continue
                 await entry.until(
@@ -204,7 +204,7 @@
     async def call(self, instance, path, body, **more):
         """Send one request to a gateway."""
         return await site.call(
-            self.entries[instance],
+            self.gateways[instance],
             'POST',
             path,
             body=body,
@@ -232,7 +232,7 @@
             )
         )
 
-    async def _run_entry(self, instance, scope, *, task_status):
+    async def _run_gateway(self, instance, scope, *, task_status):
         peers = {
             name: site.settings.Address(host=site.HOST, port=port)
             for name, port in self.ports.items()
@@ -240,7 +240,7 @@
         found = site.FakeEndpoints()
         found.records = [site.make_record(one) for one in self.endpoints]
         found.revision = self._revision
-        async with site.run_entry(
+        async with site.run_gateway(
             configuration=self._configuration,
             found=found,
             objects=self.store,
@@ -251,7 +251,7 @@
             ),
         ) as entry:
             entry.ended = anyio.Event()
-            self.entries[instance] = entry
+            self.gateways[instance] = entry
             with scope:
                 task_status.started()
                 await anyio.sleep_forever()
@@ -282,7 +282,7 @@
         names = [f'entry-{number}' for number in range(entries)]
         fleet.ports = {name: process_site.find_port() for name in names}
         for name in names:
-            await fleet.start_entry(name)
+            await fleet.start_gateway(name)
         await fleet.exchange()
         yield fleet
         fleet.go_on.set()
--- a/tests/gateway/site.py
+++ b/tests/gateway/site.py
@@ -266,7 +266,7 @@
         found = FakeEndpoints()
         found.records = [make_record(fake) for fake in fakes]
         site = await stack.enter_async_context(
-            run_entry(
+            run_gateway(
                 configuration=configuration or make_configuration(),
                 found=found,
                 objects=FakeStore(),
@@ -280,7 +280,7 @@
 
 
 @contextlib.asynccontextmanager
-async def run_entry(*, configuration, found, objects, process):
+async def run_gateway(*, configuration, found, objects, process):
     """Run a gateway with the given data sources."""
     config = FakeConfigurationSource()
     config.current = configuration
--- a/tests/gateway/test_ended_endpoints.py
+++ b/tests/gateway/test_ended_endpoints.py
@@ -187,9 +187,9 @@
         await fleet.call('entry-1', '/safe/1', CONTENT)
         await fleet.revive()
         await fleet.exchange()
-        await fleet.kill_entry('entry-1')
-        await fleet.start_entry('entry-1')
-        known = fleet.entries['entry-1'].gateway.containment.suspects
+        await fleet.kill_gateway('entry-1')
+        await fleet.start_gateway('entry-1')
+        known = fleet.gateways['entry-1'].gateway.containment.suspects
         await fleet.until(known.list_blocked)
         got = await fleet.call('entry-1', '/safe/1', CONTENT)
         assert got.status == 503
@@ -210,10 +210,10 @@
             )
         )
         for gateway in GATEWAYS:
-            await fleet.kill_entry(gateway)
+            await fleet.kill_gateway(gateway)
         for gateway in GATEWAYS:
-            await fleet.start_entry(gateway)
-            known = fleet.entries[gateway].gateway.containment.suspects
+            await fleet.start_gateway(gateway)
+            known = fleet.gateways[gateway].gateway.containment.suspects
             await fleet.until(known.list_blocked)
             got = await fleet.call(gateway, '/safe/1', CONTENT)
             assert got.status == 503
@@ -229,7 +229,7 @@
     elsewhere.  Waiting requests have to be checked then, too.
     """
     async with fleets.run_fleet(monkeypatch, entries=1, endpoints=1) as fleet:
-        gateway = fleet.entries['entry-0'].gateway
+        gateway = fleet.gateways['entry-0'].gateway
         answers = []
 
         async def send_copy():
