--- a/marigoldramp/demands.py
+++ b/marigoldramp/demands.py
@@ -1,11 +1,11 @@
-"""Shares of a customer's limits that follow where its calls arrive.
-
-Callers choose among a customer's entries as they like; many keep to one.
-With equal shares the limit of the other entries is then lost to them.  The
-entries that serve a customer therefore tell each other how much is asked of
-them, and each computes its share from the same figures.  Nothing is agreed:
-where one does not hear another, or is not heard, both fall back to equal
-shares, whose sum never passes the limit.
+"""Divides the limits of a customer among entries according to demand.
+
+Callers may use any entry of a customer, and many use only one.  With equal
+shares they could not use the part of the limit that the other entries hold.
+So the entries that serve a customer tell each other how much demand they have,
+and each computes its share from the same figures.  There is no agreement
+protocol: if messages between two entries are lost in either direction, both
+use equal shares, whose sum never exceeds the limit.
 """
 
 import dataclasses
@@ -14,37 +14,39 @@
 
 from . import messages
 
-#: Seconds between two datagrams to an entry.
+#: Interval between datagrams to an entry.
 PUBLISH_SECONDS = 0.5
-#: A peer's figures are believed for so long.
-FRESH_SECONDS = 1.75
-#: Part of the limit that stays divided equally, so that an entry to which
-#: nothing came can serve the first calls that do.
-EQUAL_PART = 0.1
-#: A customer is reported once it asks for so much of its equal share.
-REPORTED_FROM = 0.5
-#: Demands in one datagram; it stays below 1,200 bytes.
+#: Age up to which the demands of a peer are used.
+MAX_USAGE_AGE_SECONDS = 1.75
+#: Part of the limit that is always divided equally, so that an entry without
+#: demand can serve the first calls that arrive.
+EQUALLY_DIVIDED_FRACTION = 0.1
+#: Demand from which a customer is reported, as a fraction of the equal share.
+MIN_REPORTED_FRACTION = 0.5
+#: Limit of demands in one datagram, which keeps it below 1,200 bytes.
 MOST_DEMANDS = 24
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
-class _Heard:
-    """The last usage of a peer.
+class _PeerUsage:
+    """The latest usage message of a peer.
 
-    :ivar at: clock time of its arrival.
+    :ivar received_at: clock time of its arrival.
+    :ivar hears: whether the peer has fresh demands of this entry.
+    :ivar demands: fraction of the limits demanded at the peer, by customer.
     """
 
-    at: float
+    received_at: float
     hears: bool
     demands: dict[str, float]
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Asked:
-    """What one customer asks of this entry.
+    """The demand of one customer at this entry.
 
-    :ivar fraction: of the customer's whole limits.
-    :ivar serving: the entries that serve it.
+    :ivar fraction: demand as a fraction of the customer's whole limits.
+    :ivar serving: the entries that serve the customer.
     """
 
     customer: str
@@ -54,7 +56,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Report:
-    """What one peer is to be told."""
+    """The demands to send to one peer.
+
+    :ivar hears: whether the demands of this peer are fresh.
+    """
 
     peer: str
     hears: bool
@@ -62,18 +67,18 @@
 
 
 class Demands:
-    """Demands at this entry and, as far as they are known, at its peers.
+    """Tracks the demands at this entry and those reported by its peers.
 
     :param entry: this entry's instance name.
-    :param clock: seconds.
-    :param most_peers: peers whose figures are kept at once.
+    :param clock: returns the time in seconds.
+    :param most_peers: maximum number of peers whose usage is kept.
     """
 
     __slots__ = (
         '_entry',
         '_clock',
         '_most_peers',
-        '_heard',
+        '_peer_usages',
         '_published',
     )
 
@@ -83,92 +88,107 @@
         self._entry = entry
         self._clock = clock
         self._most_peers = most_peers
-        self._heard: dict[str, _Heard] = {}
+        self._peer_usages: dict[str, _PeerUsage] = {}
         self._published: dict[str, float] = {}
 
     def note(self, usage: messages.Usage) -> None:
-        """Take in a peer's usage, which replaces its last one."""
-        self._heard.pop(usage.entry, None)
-        if len(self._heard) >= self._most_peers:
-            del self._heard[next(iter(self._heard))]
-        self._heard[usage.entry] = _Heard(
-            at=self._clock(),
+        """Store the usage of a peer in place of its previous one."""
+        self._peer_usages.pop(usage.entry, None)
+        if len(self._peer_usages) >= self._most_peers:
+            del self._peer_usages[next(iter(self._peer_usages))]
+        self._peer_usages[usage.entry] = _PeerUsage(
+            received_at=self._clock(),
             hears=usage.hears,
             demands={one.customer: one.fraction for one in usage.demands},
         )
 
     def hears(self, peer: str) -> bool:
-        """Return whether a peer's figures are fresh."""
-        heard = self._heard.get(peer)
+        """Return whether the usage of a peer is fresh."""
+        heard = self._peer_usages.get(peer)
         if heard is None:
             return False
-        return self._clock() - heard.at <= FRESH_SECONDS
+        return self._clock() - heard.received_at <= MAX_USAGE_AGE_SECONDS
 
     def publish(self, asked: Sequence[Asked]) -> list[Report]:
-        """Return what to tell each peer; own shares follow it from now on.
+        """Return the reports for the peers.
 
-        Only customers matter that press against a share, here or at a peer
-        that has told so: most customers cause no datagram at all.
+        From now on, the shares of this entry are based on these reports.
+        Only customers whose demand comes near a share, here or at a peer
+        that reported it, are included: most customers cause no datagram.
         """
         self._published = {}
-        told: dict[str, list[messages.Demand]] = {}
-        for one in asked:
-            if not self._matters(one):
+        demands_by_peer: dict[str, list[messages.Demand]] = {}
+        for customer_demand in asked:
+            if not self._needs_report(customer_demand):
                 continue
-            demand = self._add(customer=one.customer, fraction=one.fraction)
-            for peer in one.serving:
+            demand = self._publish_demand(
+                customer=customer_demand.customer,
+                fraction=customer_demand.fraction,
+            )
+            for peer in customer_demand.serving:
                 if peer != self._entry:
-                    told.setdefault(peer, []).append(demand)
-        self._answer(told, known={one.customer for one in asked})
+                    demands_by_peer.setdefault(peer, []).append(demand)
+        self._add_answers(
+            demands_by_peer, known={one.customer for one in asked}
+        )
         return [
             Report(
                 peer=peer,
                 hears=self.hears(peer),
                 demands=tuple(demands[:MOST_DEMANDS]),
             )
-            for peer, demands in told.items()
+            for peer, demands in demands_by_peer.items()
         ]
 
-    def _add(self, *, customer: str, fraction: float) -> messages.Demand:
+    def _publish_demand(
+        self, *, customer: str, fraction: float
+    ) -> messages.Demand:
         self._published[customer] = fraction
         return messages.Demand(customer=customer, fraction=fraction)
 
-    def _answer(
-        self, told: dict[str, list[messages.Demand]], *, known: set[str]
+    def _add_answers(
+        self,
+        demands_by_peer: dict[str, list[messages.Demand]],
+        *,
+        known: set[str],
     ) -> None:
-        """Answer peers about customers of which nothing came here.
+        """Report no demand for peers' customers that are unknown here.
 
-        Without an answer a peer cannot know that it may have this entry's
-        part too, and a customer that keeps to one entry would lose it.
+        Without such an answer a peer could not use this entry's part of the
+        limit, which a customer that uses only one entry would lose.
         """
-        for peer, heard in self._heard.items():
+        for peer, heard in self._peer_usages.items():
             if not self.hears(peer):
                 continue
             for customer, fraction in heard.demands.items():
                 if fraction > 0.0 and customer not in known:
-                    demand = self._add(customer=customer, fraction=0.0)
-                    told.setdefault(peer, []).append(demand)
+                    demand = self._publish_demand(
+                        customer=customer, fraction=0.0
+                    )
+                    demands_by_peer.setdefault(peer, []).append(demand)
 
-    def _matters(self, asked: Asked) -> bool:
-        """Return whether anybody presses against its share of a customer.
+    def _needs_report(self, asked: Asked) -> bool:
+        """Return whether the demand comes near a share here or at a peer.
 
-        A report that only answers another does not count, or two entries
-        would answer each other for ever.
+        Reports below the threshold, which only answer another report, do not
+        count, or two entries would answer each other endlessly.
         """
-        least = REPORTED_FROM / max(1, len(asked.serving))
-        if asked.fraction >= least:
+        min_fraction = MIN_REPORTED_FRACTION / max(1, len(asked.serving))
+        if asked.fraction >= min_fraction:
             return True
         return any(
             self.hears(peer)
-            and self._heard[peer].demands.get(asked.customer, 0.0) >= least
+            and self._peer_usages[peer].demands.get(asked.customer, 0.0)
+            >= min_fraction
             for peer in asked.serving
             if peer != self._entry
         )
 
     def share(self, *, customer: str, serving: Sequence[str]) -> float:
-        """Return the part of a customer's limits for this entry.
+        """Return the fraction of a customer's limits for this entry.
 
-        :param serving: the entries that serve it, by everybody's reckoning.
+        :param serving: the entries that serve it, which all entries compute
+            alike.
         """
         if self._entry not in serving:
             return 0.0
@@ -179,7 +199,7 @@
         for peer in serving:
             if peer == self._entry:
                 continue
-            heard = self._heard.get(peer)
+            heard = self._peer_usages.get(peer)
             if heard is None or not heard.hears or not self.hears(peer):
                 return equal
             if customer not in heard.demands:
@@ -187,4 +207,7 @@
             total += heard.demands[customer]
         if total <= 0.0:
             return equal
-        return EQUAL_PART * equal + (1.0 - EQUAL_PART) * own / total
+        return (
+            EQUALLY_DIVIDED_FRACTION * equal
+            + (1.0 - EQUALLY_DIVIDED_FRACTION) * own / total
+        )
--- a/marigoldramp/evacuation.py
+++ b/marigoldramp/evacuation.py
@@ -1,10 +1,9 @@
-"""Takes the experts of one layer away from slow ranks.
+"""Moves the experts of one layer away from slow ranks.
 
-All ranks of a group make each pass together, so one rank that computes more
-slowly than the others makes every pass as slow as itself.  A move search
-that counts loads alone does not see it, and one that weighs them would go on
-dealing the slow rank its part.  So its experts go elsewhere first, as far as
-there are places.
+All ranks of a group run each forward pass together, so one slow rank slows
+down every pass.  A move search that counts only loads does not detect it, and
+one that weights the loads would still place experts there.  So the experts of
+slow ranks are moved before the search, as far as other ranks have slots.
 """
 
 from typing import Collection
@@ -14,19 +13,20 @@
 
 
 class Evacuation:
-    """The state of one layer while slow ranks are emptied.
+    """Moves experts of one layer from slow ranks to normal ranks.
 
-    :param slots: experts that a rank can hold.
-    :param most_new: experts that a rank can copy that it does not hold.
+    :param slots: maximum number of experts on a rank.
+    :param most_new: maximum number of new experts copied to each rank.
+    :param slow: the slow ranks.
     """
 
     __slots__ = (
-        '_ranks',
-        '_first',
+        '_experts_by_rank',
+        '_initial_experts',
         '_popularity',
         '_slots',
-        '_most_new',
-        '_slow',
+        '_max_new_experts',
+        '_slow_ranks',
     )
 
     def __init__(
@@ -38,76 +38,94 @@
         most_new: int,
         slow: Collection[int],
     ) -> None:
-        self._ranks = [list(held) for held in layer]
-        self._first = [frozenset(held) for held in layer]
+        self._experts_by_rank = [list(held) for held in layer]
+        self._initial_experts = [frozenset(held) for held in layer]
         self._popularity = popularity
         self._slots = slots
-        self._most_new = most_new
-        self._slow = frozenset(slow)
+        self._max_new_experts = most_new
+        self._slow_ranks = frozenset(slow)
 
     def empty(self) -> expert_maps.Layer:
-        """Return the layer with the slow ranks as empty as can be.
+        """Return the layer with as few experts on slow ranks as possible.
 
-        The most popular experts go first, as each slow rank takes as long
-        as what is left on it.
+        The most popular experts are moved first, as the time that a slow
+        rank takes depends on the load that is left on it.
         """
-        for rank in sorted(self._slow):
+        for rank in sorted(self._slow_ranks):
             held = sorted(
-                self._ranks[rank],
+                self._experts_by_rank[rank],
                 key=self._popularity.__getitem__,
                 reverse=True,
             )
             for expert in held:
-                if self._is_elsewhere(expert) or self._place(expert):
-                    self._ranks[rank].remove(expert)
-        return tuple(tuple(sorted(held)) for held in self._ranks)
+                if self._is_on_normal_rank(
+                    expert
+                ) or self._copy_to_normal_rank(expert):
+                    self._experts_by_rank[rank].remove(expert)
+        return tuple(tuple(sorted(held)) for held in self._experts_by_rank)
 
-    def _is_elsewhere(self, expert: int) -> bool:
-        """Whether a rank that is not slow holds an expert."""
+    def _is_on_normal_rank(self, expert: int) -> bool:
+        """Return whether a normal rank holds an expert."""
         return any(
             expert in held
-            for rank, held in enumerate(self._ranks)
-            if rank not in self._slow
+            for rank, held in enumerate(self._experts_by_rank)
+            if rank not in self._slow_ranks
         )
 
-    def _place(self, expert: int) -> bool:
-        """Copy an expert to the least loaded rank that can take it."""
+    def _copy_to_normal_rank(self, expert: int) -> bool:
+        """Copy an expert to the least loaded normal rank with room for it.
+
+        Return whether there was one.
+        """
         loads = expert_maps.rank_loads(
-            layer=tuple(tuple(held) for held in self._ranks),
+            layer=tuple(tuple(held) for held in self._experts_by_rank),
             popularity=self._popularity,
         )
-        order = sorted(
-            (one for one in range(len(loads)) if one not in self._slow),
+        targets = sorted(
+            (
+                rank
+                for rank in range(len(loads))
+                if rank not in self._slow_ranks
+            ),
             key=loads.__getitem__,
         )
-        for rank in order:
-            if self._count_new(rank) < self._most_new and self._free(rank):
-                self._ranks[rank].append(expert)
+        for rank in targets:
+            if self._count_new_experts(
+                rank
+            ) < self._max_new_experts and self._ensure_free_slot(rank):
+                self._experts_by_rank[rank].append(expert)
                 return True
         return False
 
-    def _count_new(self, rank: int) -> int:
-        return len(set(self._ranks[rank]) - self._first[rank])
+    def _count_new_experts(self, rank: int) -> int:
+        return len(
+            set(self._experts_by_rank[rank]) - self._initial_experts[rank]
+        )
 
-    def _free(self, rank: int) -> bool:
-        """Make a place on a rank, by the replica that is missed least."""
-        held = self._ranks[rank]
+    def _ensure_free_slot(self, rank: int) -> bool:
+        """Free a slot if needed by removing the least popular replica.
+
+        Return whether the rank has a free slot.  Only experts that another
+        normal rank holds, and that were there at the start, are removed.
+        """
+        held = self._experts_by_rank[rank]
         if len(held) < self._slots:
             return True
-        spare = [
+        removable = [
             expert
             for expert in held
-            if self._count_holders(expert) > 1 and expert in self._first[rank]
+            if self._count_normal_holders(expert) > 1
+            and expert in self._initial_experts[rank]
         ]
-        if not spare:
+        if not removable:
             return False
-        held.remove(min(spare, key=self._popularity.__getitem__))
+        held.remove(min(removable, key=self._popularity.__getitem__))
         return True
 
-    def _count_holders(self, expert: int) -> int:
-        """Return how many ranks that are not slow hold an expert."""
+    def _count_normal_holders(self, expert: int) -> int:
+        """Return the number of normal ranks that hold an expert."""
         return sum(
             expert in held
-            for rank, held in enumerate(self._ranks)
-            if rank not in self._slow
+            for rank, held in enumerate(self._experts_by_rank)
+            if rank not in self._slow_ranks
         )
--- a/marigoldramp/layer_moves.py
+++ b/marigoldramp/layer_moves.py
@@ -1,9 +1,10 @@
 """Search for moves of experts within one layer.
 
 Two kinds of move lower the load of the most loaded rank: a *replacement*
-puts a replica of an expert in the place of an expert that other ranks hold
-as well (one load of weights), and a *swap* exchanges two experts (two loads).
-Each is judged by what it does to the loads of the ranks that it touches.
+puts a replica of an expert into a free slot or in the place of an expert that
+other ranks also hold (one weight load), and a *swap* exchanges two experts
+between ranks (two weight loads).  A move is rated by how it changes the loads
+of the ranks that it affects.
 """
 
 import dataclasses
@@ -16,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Replacement:
-    """Rank ``rank`` drops ``old`` (``None``: a free slot), loads ``new``."""
+    """Rank ``rank`` loads ``new`` in place of ``old`` (None: a free slot)."""
 
     rank: int
     old: int | None
@@ -27,11 +28,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Swap:
-    """Ranks exchange ``first_expert`` and ``second_expert``."""
+    """Two ranks exchange ``first_expert`` and ``second_expert``."""
 
-    first: int
+    first_rank: int
     first_expert: int
-    second: int
+    second_rank: int
     second_expert: int
 
     loads = 2
@@ -41,33 +42,36 @@
 
 
 class LayerSearch:
-    """The state of one layer while moves are sought.
+    """Local search over the placement of one layer's experts.
 
     :param popularity: load of each expert, in any unit.
-    :param slots: experts that a rank can hold.
-    :param most_others: least loaded ranks that may take from the most loaded
-        one; ``None`` for all.  With many ranks nearly all of the time goes
-        into those that are hardly better than others.
-    :param most_new: experts that a rank may hold at the end that it did not
-        hold at the start, for all ranks or for each; ``None`` for any number.
-    :param copies_left: new experts that each rank may still get in all layers
-        together; kept up to date, and shared by their searches.
-    :param first: the layer at the start, if ``layer`` is not it.
-    :param closed: ranks that take no part: slow ones that were emptied.
+    :param slots: maximum number of experts on a rank.
+    :param most_others: maximum number of target ranks, least loaded first;
+        ``None`` for no limit.  Without a limit, a search over many ranks
+        spends nearly all of its time on targets that gain little.
+    :param most_new: maximum number of experts on a rank at the end that it
+        did not hold at the start, one limit for all ranks or one for each;
+        ``None`` for no limit.
+    :param copies_left: number of new experts that each rank may still copy
+        in all layers together.  The searches of all layers share this list
+        and update it.
+    :param first: the layer at the start if it differs from ``layer``.
+    :param closed: ranks excluded from the search: slow ranks that were
+        emptied.
     """
 
     __slots__ = (
-        '_most_new',
-        '_copies_left',
-        '_most_others',
-        '_open',
-        '_first',
-        '_new',
+        '_max_new_experts',
+        '_remaining_copies',
+        '_max_targets',
+        '_active_ranks',
+        '_initial_experts',
+        '_new_expert_counts',
         '_slots',
-        '_ranks',
+        '_experts_by_rank',
         '_popularity',
         '_holders',
-        '_shares',
+        '_replica_loads',
         'loads',
     )
 
@@ -83,25 +87,28 @@
         first: expert_maps.Layer | None = None,
         closed: Collection[int] = (),
     ) -> None:
-        self._most_others = most_others
-        self._open = [one for one in range(len(layer)) if one not in closed]
+        self._max_targets = most_others
+        self._active_ranks = [
+            rank for rank in range(len(layer)) if rank not in closed
+        ]
         self._slots = slots
-        self._most_new = (
+        self._max_new_experts = (
             [most_new] * len(layer) if isinstance(most_new, int) else most_new
         )
-        self._copies_left = copies_left
-        self._first = [frozenset(held) for held in first or layer]
-        self._new = [
-            len(set(held) - before) for held, before in zip(layer, self._first)
+        self._remaining_copies = copies_left
+        self._initial_experts = [frozenset(held) for held in first or layer]
+        self._new_expert_counts = [
+            len(set(held) - before)
+            for held, before in zip(layer, self._initial_experts)
         ]
-        self._ranks = [list(held) for held in layer]
+        self._experts_by_rank = [list(held) for held in layer]
         self._popularity = popularity
         self._holders: list[set[int]] = [set() for _ in popularity]
         for rank, held in enumerate(layer):
             for expert in held:
                 self._holders[expert].add(rank)
-        #: Load that an expert brings to each rank that holds it.
-        self._shares = [
+        #: Load of one replica of each expert.
+        self._replica_loads = [
             load / max(1, len(holders))
             for load, holders in zip(popularity, self._holders)
         ]
@@ -109,141 +116,163 @@
 
     @property
     def skew(self) -> float:
-        """Return the largest rank load over the mean."""
-        return expert_maps.skew([self.loads[rank] for rank in self._open])
+        """Return the largest load over the mean of the active ranks."""
+        return expert_maps.skew(
+            [self.loads[rank] for rank in self._active_ranks]
+        )
 
     def layer(self) -> expert_maps.Layer:
-        """Return the layer with all moves made."""
-        return tuple(tuple(sorted(held)) for held in self._ranks)
+        """Return the layer after the moves applied so far."""
+        return tuple(tuple(sorted(held)) for held in self._experts_by_rank)
 
     def find(self) -> Move | None:
-        """Return the move that lowers the excess load most, per load.
+        """Return the move with the largest gain per weight load, if any.
 
-        Excess is the sum of squares of what ranks carry above the mean: it
-        falls also when one of several equally loaded ranks is relieved, at
-        which the largest load itself does not change yet.
+        The gain is the decrease of the excess load, which is the sum over
+        ranks of the squared load above the mean.  Unlike the largest load,
+        it also falls when only one of several equally loaded ranks is
+        relieved.
         """
-        mean = sum(self.loads) / len(self._open)
-        hot = max(self._open, key=self.loads.__getitem__)
-        # A rank above the mean that takes more only trades one excess for
-        # another; leaving these out halves the work.
-        others = [rank for rank in self._open if self.loads[rank] < mean]
-        if self._most_others is not None:
-            others.sort(key=self.loads.__getitem__)
-            del others[self._most_others :]
+        mean = sum(self.loads) / len(self._active_ranks)
+        hot_rank = max(self._active_ranks, key=self.loads.__getitem__)
+        # Load moved to a rank above the mean only becomes excess there;
+        # excluding these ranks halves the work.
+        targets = [
+            rank for rank in self._active_ranks if self.loads[rank] < mean
+        ]
+        if self._max_targets is not None:
+            targets.sort(key=self.loads.__getitem__)
+            del targets[self._max_targets :]
         best: Move | None = None
         best_gain = 0.0
-        for move in self.candidates(hot, others):
-            if self._most_new is not None and not self._may_copy(move):
+        for move in self.candidates(hot_rank, targets):
+            if (
+                self._max_new_experts is not None
+                and not self._is_within_copy_limits(move)
+            ):
                 continue
-            gain = self._judge(move, hot, mean) / move.loads
+            gain = self._compute_gain(move, hot_rank, mean) / move.loads
             if gain > best_gain:
                 best = move
                 best_gain = gain
         return best
 
-    def candidates(self, hot: int, others: Sequence[int]) -> Iterator[Move]:
-        for rank in others:
-            for expert in self._ranks[hot]:
+    def candidates(
+        self, hot_rank: int, targets: Sequence[int]
+    ) -> Iterator[Move]:
+        """Generate the moves that can relieve the most loaded rank."""
+        for rank in targets:
+            for expert in self._experts_by_rank[hot_rank]:
                 if rank not in self._holders[expert]:
-                    yield from self._pair(hot, expert, rank)
-        yield from self._lighten(hot)
-
-    def _pair(self, hot: int, expert: int, rank: int) -> Iterator[Move]:
-        if len(self._ranks[rank]) < self._slots:
+                    yield from self._generate_pair_moves(
+                        hot_rank, expert, rank
+                    )
+        yield from self._generate_relief_moves(hot_rank)
+
+    def _generate_pair_moves(
+        self, hot_rank: int, expert: int, rank: int
+    ) -> Iterator[Move]:
+        if len(self._experts_by_rank[rank]) < self._slots:
             yield Replacement(rank=rank, old=None, new=expert)
-        for other in self._ranks[rank]:
+        for other in self._experts_by_rank[rank]:
             if len(self._holders[other]) > 1:
                 yield Replacement(rank=rank, old=other, new=expert)
             if (
-                hot not in self._holders[other]
-                and self._shares[other] < self._shares[expert]
+                hot_rank not in self._holders[other]
+                and self._replica_loads[other] < self._replica_loads[expert]
             ):
                 yield Swap(
-                    first=hot,
+                    first_rank=hot_rank,
                     first_expert=expert,
-                    second=rank,
+                    second_rank=rank,
                     second_expert=other,
                 )
 
-    def _lighten(self, hot: int) -> Iterator[Move]:
-        """Let the hot rank give up a replica for the coldest expert."""
-        dropped = [
+    def _generate_relief_moves(self, hot_rank: int) -> Iterator[Move]:
+        """Generate moves that replace a replica on the most loaded rank.
+
+        The new expert is the one whose replica would have the lowest load.
+        """
+        replicated = [
             expert
-            for expert in self._ranks[hot]
+            for expert in self._experts_by_rank[hot_rank]
             if len(self._holders[expert]) > 1
         ]
-        if not dropped:
+        if not replicated:
             return
-        coldest = min(
+        lightest = min(
             (
                 expert
                 for expert, holders in enumerate(self._holders)
-                if hot not in holders
+                if hot_rank not in holders
             ),
-            key=lambda one: self._popularity[one]
-            / (len(self._holders[one]) + 1),
+            key=lambda expert: self._popularity[expert]
+            / (len(self._holders[expert]) + 1),
             default=None,
         )
-        if coldest is not None:
-            for expert in dropped:
-                yield Replacement(rank=hot, old=expert, new=coldest)
+        if lightest is not None:
+            for expert in replicated:
+                yield Replacement(rank=hot_rank, old=expert, new=lightest)
 
     def changes(self, move: Move) -> dict[int, float]:
-        """Return by how much a move changes the load of each rank."""
+        """Return the load change of each rank that a move affects."""
         changes: dict[int, float] = {}
         match move:
             case Replacement(rank=rank, old=old, new=new):
-                self._add_holder(changes, new, rank)
+                self._add_replica_changes(changes, new, rank)
                 if old is not None:
-                    self._drop_holder(changes, old, rank)
+                    self._remove_replica_changes(changes, old, rank)
             case Swap():
-                less = (
-                    self._shares[move.first_expert]
-                    - self._shares[move.second_expert]
+                moved_load = (
+                    self._replica_loads[move.first_expert]
+                    - self._replica_loads[move.second_expert]
                 )
-                changes[move.first] = -less
-                changes[move.second] = less
+                changes[move.first_rank] = -moved_load
+                changes[move.second_rank] = moved_load
         return changes
 
-    def _add_holder(
+    def _add_replica_changes(
         self, changes: dict[int, float], expert: int, rank: int
     ) -> None:
         holders = self._holders[expert]
-        share = self._popularity[expert] / (len(holders) + 1)
-        less = share - self._shares[expert]
+        replica_load = self._popularity[expert] / (len(holders) + 1)
+        change = replica_load - self._replica_loads[expert]
         for holder in holders:
-            changes[holder] = changes.get(holder, 0.0) + less
-        changes[rank] = changes.get(rank, 0.0) + share
+            changes[holder] = changes.get(holder, 0.0) + change
+        changes[rank] = changes.get(rank, 0.0) + replica_load
 
-    def _drop_holder(
+    def _remove_replica_changes(
         self, changes: dict[int, float], expert: int, rank: int
     ) -> None:
         holders = self._holders[expert]
-        share = self._shares[expert]
-        more = self._popularity[expert] / (len(holders) - 1) - share
+        replica_load = self._replica_loads[expert]
+        increase = self._popularity[expert] / (len(holders) - 1) - replica_load
         for holder in holders:
             if holder != rank:
-                changes[holder] = changes.get(holder, 0.0) + more
-        changes[rank] = changes.get(rank, 0.0) - share
+                changes[holder] = changes.get(holder, 0.0) + increase
+        changes[rank] = changes.get(rank, 0.0) - replica_load
+
+    def _compute_gain(self, move: Move, hot_rank: int, mean: float) -> float:
+        """Return the decrease of the excess load; negative if it grows.
 
-    def _judge(self, move: Move, hot: int, mean: float) -> float:
-        """Return how much excess a move removes; negative is worse."""
-        limit = self.loads[hot]
+        A move that loads another rank as much as the most loaded one is
+        rejected by a negative gain.
+        """
+        limit = self.loads[hot_rank]
         if isinstance(move, Swap):
-            # Most candidates are swaps; the general way below takes three
-            # times as long for them.
-            less = (
-                self._shares[move.first_expert]
-                - self._shares[move.second_expert]
+            # Most candidates are swaps, for which the general computation
+            # below takes three times as long.
+            moved_load = (
+                self._replica_loads[move.first_expert]
+                - self._replica_loads[move.second_expert]
             )
-            load = self.loads[move.second]
-            after = load + less
+            load = self.loads[move.second_rank]
+            after = load + moved_load
             if after >= limit:
                 return -1.0
             return (
                 max(limit - mean, 0.0) ** 2
-                - max(limit - less - mean, 0.0) ** 2
+                - max(limit - moved_load - mean, 0.0) ** 2
                 + max(load - mean, 0.0) ** 2
                 - max(after - mean, 0.0) ** 2
             )
@@ -251,74 +280,79 @@
         for rank, change in self.changes(move).items():
             load = self.loads[rank]
             after = load + change
-            if rank != hot and after >= limit:
+            if rank != hot_rank and after >= limit:
                 return -1.0
             gain += max(load - mean, 0.0) ** 2 - max(after - mean, 0.0) ** 2
         return gain
 
     def apply(self, move: Move) -> None:
-        """Make a move."""
+        """Apply a move to the layer and to the loads."""
         for rank, change in self.changes(move).items():
             self.loads[rank] += change
         match move:
             case Replacement(rank=rank, old=old, new=new):
                 if old is not None:
-                    self._take_away(rank, old)
-                self._give(rank, new)
+                    self._remove_expert(rank, old)
+                self._add_expert(rank, new)
             case Swap():
-                self._take_away(move.first, move.first_expert)
-                self._take_away(move.second, move.second_expert)
-                self._give(move.first, move.second_expert)
-                self._give(move.second, move.first_expert)
+                self._remove_expert(move.first_rank, move.first_expert)
+                self._remove_expert(move.second_rank, move.second_expert)
+                self._add_expert(move.first_rank, move.second_expert)
+                self._add_expert(move.second_rank, move.first_expert)
 
     def restore(self, layer: expert_maps.Layer) -> None:
-        """Go back to a layer that was found before."""
+        """Return to an earlier state of the layer."""
         for rank, held in enumerate(layer):
-            for expert in set(self._ranks[rank]) - set(held):
-                self._take_away(rank, expert)
-            for expert in set(held) - set(self._ranks[rank]):
-                self._give(rank, expert)
+            for expert in set(self._experts_by_rank[rank]) - set(held):
+                self._remove_expert(rank, expert)
+            for expert in set(held) - set(self._experts_by_rank[rank]):
+                self._add_expert(rank, expert)
         self.loads = expert_maps.rank_loads(
             layer=layer, popularity=self._popularity
         )
 
-    def _may_copy(self, move: Move) -> bool:
-        """Whether the ranks of a move may get that many new experts."""
+    def _is_within_copy_limits(self, move: Move) -> bool:
+        """Return whether a move keeps its ranks within their copy limits."""
         match move:
             case Replacement(rank=rank, new=new):
-                return self._has_room(rank, new)
+                return self._can_copy(rank, new)
             case Swap():
-                return self._has_room(
-                    move.first, move.second_expert
-                ) and self._has_room(move.second, move.first_expert)
+                return self._can_copy(
+                    move.first_rank, move.second_expert
+                ) and self._can_copy(move.second_rank, move.first_expert)
 
-    def _has_room(self, rank: int, expert: int) -> bool:
-        if expert in self._first[rank]:
+    def _can_copy(self, rank: int, expert: int) -> bool:
+        if expert in self._initial_experts[rank]:
             return True
-        if self._copies_left is not None and self._copies_left[rank] <= 0:
+        if (
+            self._remaining_copies is not None
+            and self._remaining_copies[rank] <= 0
+        ):
             return False
-        assert self._most_new is not None
-        return self._new[rank] < self._most_new[rank]
+        assert self._max_new_experts is not None
+        return self._new_expert_counts[rank] < self._max_new_experts[rank]
 
-    def _give(self, rank: int, expert: int) -> None:
-        self._count_new(rank, expert, 1)
-        self._ranks[rank].append(expert)
+    def _add_expert(self, rank: int, expert: int) -> None:
+        self._update_new_count(rank, expert, 1)
+        self._experts_by_rank[rank].append(expert)
         self._holders[expert].add(rank)
-        self._count(expert)
+        self._update_replica_load(expert)
 
-    def _take_away(self, rank: int, expert: int) -> None:
-        self._count_new(rank, expert, -1)
-        self._ranks[rank].remove(expert)
+    def _remove_expert(self, rank: int, expert: int) -> None:
+        self._update_new_count(rank, expert, -1)
+        self._experts_by_rank[rank].remove(expert)
         self._holders[expert].discard(rank)
-        self._count(expert)
+        self._update_replica_load(expert)
 
-    def _count_new(self, rank: int, expert: int, change: int) -> None:
-        if expert in self._first[rank]:
+    def _update_new_count(self, rank: int, expert: int, change: int) -> None:
+        if expert in self._initial_experts[rank]:
             return
-        self._new[rank] += change
-        if self._copies_left is not None:
-            self._copies_left[rank] -= change
+        self._new_expert_counts[rank] += change
+        if self._remaining_copies is not None:
+            self._remaining_copies[rank] -= change
 
-    def _count(self, expert: int) -> None:
+    def _update_replica_load(self, expert: int) -> None:
         holders = len(self._holders[expert])
-        self._shares[expert] = self._popularity[expert] / max(1, holders)
+        self._replica_loads[expert] = self._popularity[expert] / max(
+            1, holders
+        )
--- a/marigoldramp/placement.py
+++ b/marigoldramp/placement.py
@@ -1,8 +1,9 @@
-"""When to move experts, and which: the kind of plug-in that decides it.
+"""Rebalancing policies: plug-ins that decide when to move which experts.
 
-A policy sees the map in force, the estimated popularity and a budget, and
-proposes a map.  What every policy must keep to, the budget of weight loads
-and the promised deadlines in flight, is checked here, outside the policies.
+A policy gets the current expert map, the estimated popularity of the experts
+and a limit of weight loads, and proposes a map.  The limits that hold for
+every policy, of weight loads and of the delay for promised deadlines of calls
+in flight, are checked here, outside the policies.
 """
 
 import abc
@@ -18,10 +19,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Situation:
-    """What a policy decides on.
+    """The input of a policy's decision.
 
-    :ivar popularity: share of each expert, by layer.
-    :ivar most_loads: experts that may be loaded for this change.
+    :ivar layers: the placement in force.
+    :ivar popularity: share of each expert in the load of its layer.
+    :ivar most_loads: maximum number of weight loads for this change.
     """
 
     layers: tuple[expert_maps.Layer, ...]
@@ -31,11 +33,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Proposal:
-    """A map that a policy wants.
+    """A new expert map that a policy proposes.
 
-    :ivar loads: experts whose weights have to be loaded for it.
-    :ivar skew_before: predicted without the change, mean over layers.
-    :ivar skew_after: predicted with the change.
+    :ivar loads: number of weight loads that the change needs.
+    :ivar skew_before: predicted skew without the change, mean over layers.
+    :ivar skew_after: predicted skew with the change, mean over layers.
     """
 
     layers: tuple[expert_maps.Layer, ...]
@@ -46,9 +48,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Stay:
-    """No change is wanted, or none may begin.
+    """The decision to keep the current map.
 
-    :ivar reason: one sentence for operators.
+    :ivar reason: why no change is wanted or allowed, for operators.
     """
 
     reason: str
@@ -56,7 +58,7 @@
 
 
 class RebalancingPolicy(plugins.Plugin, kind=True):
-    """Kind of plug-in that decides when and what to move.
+    """Plug-in that decides when to move experts and which ones.
 
     :param group: the group's part of the bundle.
     """
@@ -68,33 +70,33 @@
     async def begin_interval(self, *, situation: Situation) -> Proposal | Stay:
         """Decide at the beginning of an interval.
 
-        Must yield to the event loop (``await anyio.sleep(0)``) at least once
-        a layer, as heartbeats run in the same process.
+        Implementations yield to the event loop (``await anyio.sleep(0)``) at
+        least once per layer, as heartbeats run in the same process.
         """
 
     def end_change(self, *, done: bool) -> None:
-        """Learn whether the last proposal took effect."""
+        """Take note of whether the last proposal took effect."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Disruption:
-    """What a change costs the calls in flight.
+    """How much a map change delays calls in flight.
 
-    :ivar stall_seconds: longest time that the group can be expected to wait
-        between a hold and its release.
-    :ivar load_slowdown: share by which steps are slower while a rank loads
-        weights, as loading takes memory and network bandwidth.
+    :ivar stall_seconds: longest expected pause of the group between a hold
+        and its release.
+    :ivar load_slowdown: fraction by which steps are slower while a rank
+        loads weights, as loading takes memory and network bandwidth.
     """
 
     stall_seconds: float = 0.05
     load_slowdown: float = 0.03
 
     def predict(self, *, load_seconds: float) -> float:
-        """Return by how many seconds a change can delay a call in flight."""
+        """Return the maximum delay of a call in flight by a change."""
         return self.stall_seconds + self.load_slowdown * load_seconds
 
 
-#: What is assumed until a deployment has measured it.
+#: Assumed where a deployment has no measured values.
 DISRUPTION = Disruption()
 
 
@@ -103,7 +105,7 @@
     old: Sequence[expert_maps.Layer],
     new: Sequence[expert_maps.Layer],
 ) -> int:
-    """Return how many experts have to be loaded from one map to another."""
+    """Return the number of weight loads for a change between two maps."""
     total = 0
     for before, after in zip(old, new):
         if before is after:
@@ -119,11 +121,11 @@
     layers: Sequence[expert_maps.Layer],
     popularity: Sequence[Sequence[float]],
 ) -> float:
-    """Return the skew of the step time.
+    """Return the mean skew of the layers, which is the skew of the step time.
 
-    Ranks wait for each other in every layer, so a step takes the sum over
-    layers of the largest rank load; with as many tokens in each layer, that
-    over the sum of means is the mean of the layers' skews.
+    Ranks wait for each other in every layer, so the step time is the sum over
+    layers of the largest rank load.  As every layer has the same number of
+    tokens, that sum divided by the sum of the mean loads is the mean skew.
     """
     skews = [
         expert_maps.skew(
@@ -135,7 +137,7 @@
 
 
 def load_seconds(*, group: bundle.Group, loads: int) -> float:
-    """Return how long the weight store takes for some experts."""
+    """Return how long the weight store takes for a number of loads."""
     return loads * group.expert_bytes / group.weight_bytes_per_second
 
 
@@ -145,21 +147,26 @@
     disruption: Disruption = DISRUPTION,
     slack: float = math.inf,
 ) -> int:
-    """Return how many experts may be loaded in one interval.
+    """Return the maximum number of weight loads in one interval.
 
-    The weight store's rate is a hard limit: loads that take longer than the
-    interval would pile up behind each other.  So is the slack: 0 means that
-    no change may begin now.
+    The rate of the weight store is a hard limit: loads that take longer than
+    the interval would queue up.  The slack is another: a result of 0 means
+    that no change may begin now.
 
-    :param slack: seconds that the tightest call in flight can be delayed
-        without missing its promised deadline.
+    :param slack: seconds by which the call in flight that is closest to its
+        promised deadline can be delayed without missing it.
     """
-    one = load_seconds(group=group, loads=1)
-    most = min(group.moves_per_interval, int(group.interval_seconds / one))
-    spare = (slack - disruption.stall_seconds) / disruption.load_slowdown
-    if spare >= most * one:
-        return most
-    return max(0, int(spare / one))
+    seconds_per_load = load_seconds(group=group, loads=1)
+    max_loads = min(
+        group.moves_per_interval,
+        int(group.interval_seconds / seconds_per_load),
+    )
+    allowed_seconds = (
+        slack - disruption.stall_seconds
+    ) / disruption.load_slowdown
+    if allowed_seconds >= max_loads * seconds_per_load:
+        return max_loads
+    return max(0, int(allowed_seconds / seconds_per_load))
 
 
 def check(
@@ -170,25 +177,25 @@
     disruption: Disruption,
     slack: Callable[[], float],
 ) -> Proposal | Stay:
-    """Return the proposal if it may begin now, or why it may not.
+    """Return the proposal if it may begin now, otherwise the reason.
 
-    :param slack: returns the seconds that the tightest call in flight can
-        be delayed without missing its promised deadline.
+    :param slack: returns the seconds by which the call in flight that is
+        closest to its promised deadline can be delayed without missing it.
     """
-    allowed = situation.most_loads
-    if proposal.loads > allowed:
+    max_loads = situation.most_loads
+    if proposal.loads > max_loads:
         return Stay(
-            reason=f'{proposal.loads} loads are over the limit of {allowed}',
+            reason=f'{proposal.loads} loads are over the limit of {max_loads}',
             skew=proposal.skew_before,
         )
     delay = disruption.predict(
         load_seconds=load_seconds(group=group, loads=proposal.loads)
     )
-    spare = slack()
-    if delay > spare:
+    allowed_delay = slack()
+    if delay > allowed_delay:
         return Stay(
             reason=f'a delay of {delay:.3f} s would break a promised '
-            f'deadline; {spare:.3f} s are to spare',
+            f'deadline; at most {allowed_delay:.3f} s are allowed',
             skew=proposal.skew_before,
         )
     return proposal
--- a/marigoldramp/planner.py
+++ b/marigoldramp/planner.py
@@ -1,4 +1,4 @@
-"""Plans the changes of one group's map, for as long as its leader leads."""
+"""Plans the expert map changes of a group; runs in the group's leader."""
 
 import dataclasses
 from typing import Any
@@ -15,37 +15,39 @@
 from . import popularity
 from . import stragglers
 
-#: Loads are given up after this many times the time that they should take.
-LOAD_PATIENCE = 4.0
-#: Seconds that even a small load is given.
-LEAST_LOAD_SECONDS = 5.0
+#: Weight loads are abandoned after this multiple of their expected time
+#: plus the minimum.
+LOAD_TIMEOUT_FACTOR = 4.0
+#: Timeout that even the smallest load gets.
+MIN_LOAD_TIMEOUT_SECONDS = 5.0
 
+#: Decay of old reports in the popularity estimate.  The many tokens of one
+#: interval leave little noise to average, and an estimate that lags behind
+#: the traffic causes skew.
+HALF_LIVES_PER_INTERVAL = 2.0
 
-#: How fast old reports are forgotten.  An interval counts so many tokens
-#: that little is left to average; an estimate that lags costs skew.
-HALF_LIVES_AN_INTERVAL = 2.0
-
-
-#: Why nothing moves while a call in flight is close to its deadline.
-NO_SLACK = 'any delay would break a promised deadline of a call in flight'
+#: Reason reported while a call in flight is close to its deadline.
+NO_SLACK_REASON = (
+    'a call in flight would miss its promised deadline after any delay'
+)
 
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class AgentReports:
-    """What the ranks beside one agent have counted."""
+    """The token counts of the ranks that one agent serves."""
 
     agent: str
     reports: tuple[popularity.Report, ...]
 
 
-Collect = Callable[[], Awaitable[tuple[AgentReports, ...]]]
+CollectReports = Callable[[], Awaitable[tuple[AgentReports, ...]]]
 
 
 class Planner:
-    """Asks the group's policy once an interval.
+    """Asks the rebalancing policy of the group once per interval.
 
-    :param collect: asks the group's agents for their counts.
-    :ivar outlook: what the policy last decided, for operators.
+    :param collect: returns the reports of the agents of the group.
+    :ivar last_decision: the latest decision, for operators.
     """
 
     __slots__ = (
@@ -53,18 +55,18 @@
         '_policy',
         '_collect',
         '_clock',
-        '_next',
-        '_due',
+        '_next_collection',
+        '_decision_due',
         '_estimator',
         '_detector',
-        'outlook',
+        'last_decision',
     )
 
     def __init__(
         self,
         *,
         group: bundle.Group,
-        collect: Collect,
+        collect: CollectReports,
         clock: Callable[[], float],
     ) -> None:
         plugin: Any = placement.RebalancingPolicy.find(group.rebalancing)
@@ -72,19 +74,19 @@
         self._group = group
         self._collect = collect
         self._clock = clock
-        self._next = clock() + group.interval_seconds
-        self._due = False
+        self._next_collection = clock() + group.interval_seconds
+        self._decision_due = False
         self._estimator = popularity.Estimator(
             layers=group.layers,
             experts=group.experts,
             agents=group.ranks,
-            half_life=group.interval_seconds / HALF_LIVES_AN_INTERVAL,
+            half_life=group.interval_seconds / HALF_LIVES_PER_INTERVAL,
         )
         self._detector = stragglers.Detector()
-        self.outlook: placement.Proposal | placement.Stay | None = None
+        self.last_decision: placement.Proposal | placement.Stay | None = None
 
     def findings(self) -> tuple[stragglers.Straggler, ...]:
-        """Return the ranks that are slow for no reason of their load."""
+        """Return the ranks whose slowness their load does not explain."""
         return self._detector.findings()
 
     async def plan(
@@ -93,21 +95,23 @@
         expert_map: expert_maps.ExpertMap,
         client: map_client.GroupClient,
     ) -> map_leader.Plan | None:
-        """Return the change to make now, if any."""
-        if self._clock() >= self._next:
-            self._next = self._clock() + self._group.interval_seconds
-            await self._take(await self._collect())
-            self._due = True
-        if not self._due:
+        """Return the map change to make now, if any."""
+        if self._clock() >= self._next_collection:
+            self._next_collection = (
+                self._clock() + self._group.interval_seconds
+            )
+            await self._process_reports(await self._collect())
+            self._decision_due = True
+        if not self._decision_due:
             return None
-        wanted = await self._decide(expert_map, client.slack)
-        self.outlook = wanted
-        if isinstance(wanted, placement.Stay):
+        decision = await self._decide(expert_map, client.slack)
+        self.last_decision = decision
+        if isinstance(decision, placement.Stay):
             return None
-        self._due = False
+        self._decision_due = False
         return map_leader.Plan(
-            layers=wanted.layers,
-            load_limit=self._limit(wanted),
+            layers=decision.layers,
+            load_limit=self._compute_load_timeout(decision),
             stall_seconds=placement.DISRUPTION.stall_seconds,
         )
 
@@ -118,27 +122,27 @@
     ) -> placement.Proposal | placement.Stay:
         """Ask the policy for a change that may begin now.
 
-        While calls in flight have no time to spare it is asked again at
-        each look at the group, not only once an interval: with a call
-        always close to its deadline, no change would ever begin.
+        If calls in flight have no slack, the leader retries on every check
+        of the group instead of once per interval: with some call always
+        close to its deadline, a single try per interval might never succeed.
         """
-        most = placement.most_loads(group=self._group, slack=slack())
-        if not most:
-            return placement.Stay(reason=NO_SLACK)
+        max_loads = placement.most_loads(group=self._group, slack=slack())
+        if not max_loads:
+            return placement.Stay(reason=NO_SLACK_REASON)
         situation = placement.Situation(
             layers=expert_map.layers,
             popularity=tuple(
                 self._estimator.estimate(layer)
                 for layer in range(self._group.layers)
             ),
-            most_loads=most,
+            most_loads=max_loads,
         )
-        wanted = await self._policy.begin_interval(situation=situation)
-        if isinstance(wanted, placement.Stay):
-            self._due = False
-            return wanted
+        decision = await self._policy.begin_interval(situation=situation)
+        if isinstance(decision, placement.Stay):
+            self._decision_due = False
+            return decision
         return placement.check(
-            proposal=wanted,
+            proposal=decision,
             situation=situation,
             group=self._group,
             disruption=placement.DISRUPTION,
@@ -146,24 +150,26 @@
         )
 
     def record_outcome(self, *, plan: map_leader.Plan, done: bool) -> None:
-        """Learn whether a change took place."""
+        """Tell the policy whether a planned change took effect."""
         self._policy.end_change(done=done)
 
-    async def _take(self, collected: tuple[AgentReports, ...]) -> None:
+    async def _process_reports(
+        self, collected: tuple[AgentReports, ...]
+    ) -> None:
         timings: list[popularity.RankTiming] = []
-        for one in collected:
-            for report in one.reports:
+        for agent_reports in collected:
+            for report in agent_reports.reports:
                 timings.extend(report.timings)
-                ranks = ','.join(str(each.rank) for each in report.timings)
+                ranks = ','.join(str(timing.rank) for timing in report.timings)
                 self._estimator.take(
-                    agent=f'{one.agent}/{ranks}', report=report
+                    agent=f'{agent_reports.agent}/{ranks}', report=report
                 )
                 await anyio.sleep(0)
         self._detector.take(timings)
 
-    def _limit(self, proposal: placement.Proposal) -> float:
-        """Return the seconds after which unfinished loads are given up."""
+    def _compute_load_timeout(self, proposal: placement.Proposal) -> float:
+        """Return the seconds after which unfinished loads are abandoned."""
         seconds = placement.load_seconds(
             group=self._group, loads=proposal.loads
         )
-        return LEAST_LOAD_SECONDS + LOAD_PATIENCE * seconds
+        return MIN_LOAD_TIMEOUT_SECONDS + LOAD_TIMEOUT_FACTOR * seconds
--- a/marigoldramp/popularity.py
+++ b/marigoldramp/popularity.py
@@ -1,10 +1,10 @@
 """Popularity of experts, estimated from the reports of rank agents.
 
 An agent reports how many tokens each expert of each layer received since its
-last report.  Reports can be late or missing, and an agent's restart begins a
-new series.  The estimate forgets exponentially, at two speeds: the slow one
-averages noise away; the fast one takes over in a layer whose requests have
-changed suddenly, which a slow one would follow for many intervals.
+last report.  Reports can be late or missing, and a restarted agent begins a
+new series.  Each layer has two exponential moving averages: the slow one
+averages out noise; the fast one is used after a sudden change of the requests,
+which the slow one would take many intervals to follow.
 """
 
 import dataclasses
@@ -12,16 +12,17 @@
 
 import msgspec
 
-#: Counts of a layer are sent scaled, so that the largest is this: one byte
-#: of MessagePack each.  At 61 layers of 128 experts a report is 8 KB.
-LARGEST_SCALED = 127
+#: The counts of a layer are scaled to this maximum before sending, so that
+#: each takes one byte in MessagePack.  A report of 61 layers of 128 experts
+#: takes 8 KB.
+MAX_SCALED_COUNT = 127
 
 
 class LayerCounts(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Tokens that each expert of a layer received.
+    """Number of tokens that each expert of a layer received.
 
-    :ivar total: tokens of the whole layer.
-    :ivar scaled: share of each expert, scaled to ``LARGEST_SCALED``.
+    :ivar total: number of tokens of all experts of the layer.
+    :ivar scaled: share of each expert, scaled to ``MAX_SCALED_COUNT``.
     """
 
     total: float
@@ -29,11 +30,11 @@
 
 
 class RankTiming(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Work of one rank since the last report.
+    """Steps, computing time and tokens of a rank since the last report.
 
-    :ivar steps: steps that it has ended.
-    :ivar busy_seconds: time that it computed, without waiting for others.
-    :ivar tokens: tokens that its experts received, over all layers.
+    :ivar steps: number of steps completed.
+    :ivar busy_seconds: computing time, without waiting for other ranks.
+    :ivar tokens: number of tokens that its experts received in all layers.
     """
 
     rank: int
@@ -43,11 +44,11 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One agent's report.
+    """A report of one agent.
 
-    :ivar series: number of the agent process's start.
-    :ivar sequence: grows by one with each report of the series.
-    :ivar seconds: time that the report covers, added up over its ranks.
+    :ivar series: incarnation number of the agent process.
+    :ivar sequence: number of the report in its series.
+    :ivar seconds: time covered by the report, summed over its ranks.
     """
 
     series: int
@@ -58,9 +59,9 @@
 
 
 def scale(counts: Sequence[float]) -> LayerCounts:
-    """Return the counts of a layer in the form in which they are sent."""
+    """Return the counts of a layer in the scaled form used in reports."""
     largest = max(counts, default=0.0)
-    factor = LARGEST_SCALED / largest if largest > 0 else 0.0
+    factor = MAX_SCALED_COUNT / largest if largest > 0 else 0.0
     return LayerCounts(
         total=sum(counts),
         scaled=bytes(round(count * factor) for count in counts),
@@ -68,15 +69,15 @@
 
 
 def merge(*, reports: Sequence[Report], series: int, sequence: int) -> Report:
-    """Return one report of all ranks beside an agent.
+    """Merge the reports of an agent's ranks into one report.
 
-    At 64 ranks of 61 layers, a report for each rank would be half a
-    megabyte an interval at the leader; one for each agent is 70 KB.
+    With 64 ranks and 61 layers, reports per rank would send half a megabyte
+    per interval to the leader; reports per agent send 70 KB.
     """
     layers: list[LayerCounts] = []
-    for rows in zip(*(report.layers for report in reports)):
-        counts = [0.0] * max(len(row.scaled) for row in rows)
-        for row in rows:
+    for layer_counts in zip(*(report.layers for report in reports)):
+        counts = [0.0] * max(len(row.scaled) for row in layer_counts)
+        for row in layer_counts:
             scaled = sum(row.scaled)
             factor = row.total / scaled if scaled else 0.0
             for expert, count in enumerate(row.scaled):
@@ -94,25 +95,31 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class _Layer:
+class _LayerEstimates:
     fast: list[float]
     slow: list[float]
 
 
 class Estimator:
-    """Estimates the share of each expert of each layer.
-
-    :param half_life: seconds of reports after which the slow estimate has
-        forgotten half; the fast one takes a quarter of that.
-    :param agents: how many reports cover the same time; where reports add
-        up seconds over ranks, the number of ranks.
-    :param sudden: distance between both estimates, as the share of tokens
-        that would have to change experts, above which the fast one is used.
+    """Estimates the share of each expert in the tokens of its layer.
+
+    :param half_life: half-life of the slow average, in seconds covered by
+        reports; that of the fast average is a quarter.
+    :param agents: number of reports that cover the same time; the number of
+        ranks if reports sum their seconds over ranks.
+    :param sudden: distance between the two averages above which the fast
+        one is used, see ``distance``.
     """
 
-    __slots__ = ('_layers', '_half_life', '_sudden', '_last', 'agents')
+    __slots__ = (
+        '_layers',
+        '_half_life',
+        '_max_distance',
+        '_last_reports',
+        'agents',
+    )
 
-    FAST = 4.0
+    FAST_SPEEDUP = 4.0
 
     def __init__(
         self,
@@ -123,59 +130,68 @@
         half_life: float = 60.0,
         sudden: float = 0.1,
     ) -> None:
-        even = 1.0 / experts
+        uniform_share = 1.0 / experts
         self._layers = [
-            _Layer(fast=[even] * experts, slow=[even] * experts)
+            _LayerEstimates(
+                fast=[uniform_share] * experts, slow=[uniform_share] * experts
+            )
             for _ in range(layers)
         ]
         self._half_life = half_life
-        self._sudden = sudden
-        self._last: dict[str, tuple[int, int]] = {}
+        self._max_distance = sudden
+        self._last_reports: dict[str, tuple[int, int]] = {}
         self.agents = agents
 
     def take(self, *, agent: str, report: Report, age: float = 0.0) -> bool:
-        """Blend a report in; return whether it was new.
+        """Update the estimates by a report; return whether it was new.
 
-        A report that was doubled or overtaken is dropped.  One that comes
-        ``age`` seconds late counts for less, by the same law by which it
-        would have been forgotten had it come in time.
+        Duplicate reports and reports older than the latest one are dropped.
+        A report that is ``age`` seconds late has the lower weight to which
+        it would have decayed by now if it had arrived in time.
 
-        :param age: seconds between the report's end and now.
+        :param age: seconds from the end of the report's period until now.
         """
-        last = self._last.get(agent)
+        last = self._last_reports.get(agent)
         if last is not None and last[0] == report.series:
             if report.sequence <= last[1]:
                 return False
-        self._last[agent] = (report.series, report.sequence)
+        self._last_reports[agent] = (report.series, report.sequence)
         seconds = report.seconds / max(1, self.agents)
-        slow = self._gain(seconds, age, self._half_life)
-        fast = self._gain(seconds, age, self._half_life / self.FAST)
+        slow = self._compute_weight(seconds, age, self._half_life)
+        fast = self._compute_weight(
+            seconds, age, self._half_life / self.FAST_SPEEDUP
+        )
         for layer, counts in zip(self._layers, report.layers):
-            _blend(layer, counts, slow, fast)
+            _update_estimates(layer, counts, slow, fast)
         return True
 
     @staticmethod
-    def _gain(seconds: float, age: float, half_life: float) -> float:
+    def _compute_weight(seconds: float, age: float, half_life: float) -> float:
         gain = 1.0 - 0.5 ** (seconds / half_life)
         return float(gain * 0.5 ** (age / half_life))
 
     def estimate(self, layer: int) -> list[float]:
-        """Return the share of each expert of a layer; they sum to one."""
-        both = self._layers[layer]
-        if self.distance(layer) > self._sudden:
-            return list(both.fast)
-        return list(both.slow)
+        """Return the share of each expert of a layer; the sum is 1."""
+        averages = self._layers[layer]
+        if self.distance(layer) > self._max_distance:
+            return list(averages.fast)
+        return list(averages.slow)
 
     def distance(self, layer: int) -> float:
-        """Return how far the two estimates of a layer are apart, 0 to 1."""
-        both = self._layers[layer]
+        """Return the total variation distance of a layer's two averages.
+
+        It is the share of tokens, from 0 to 1, that would have to go to
+        other experts to turn one average into the other.
+        """
+        averages = self._layers[layer]
         return 0.5 * sum(
-            abs(one - other) for one, other in zip(both.fast, both.slow)
+            abs(one - other)
+            for one, other in zip(averages.fast, averages.slow)
         )
 
 
-def _blend(
-    layer: _Layer, counts: LayerCounts, slow: float, fast: float
+def _update_estimates(
+    layer: _LayerEstimates, counts: LayerCounts, slow: float, fast: float
 ) -> None:
     total = sum(counts.scaled)
     if not total or len(counts.scaled) != len(layer.slow):
--- a/marigoldramp/rendezvous.py
+++ b/marigoldramp/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: everybody who sees the same names chooses the same.
+"""Rendezvous hashing: instances with the same list of names choose alike.
 
-A name that comes or goes moves only the choices in which it takes part, and
-nobody has to be asked.
+Adding or removing a name changes only the choices that include it, and no
+coordination is needed.
 """
 
 import hashlib
@@ -15,17 +15,17 @@
 
 
 def score_pair(*, one: str, other: str) -> int:
-    """Return the weight of a pair of names in either order.
+    """Return the weight of a pair of names, which is the same in both orders.
 
     Two instances that choose each other share one exchange of heartbeats;
-    weights that depend on the order would make two of it.
+    weights that depend on the order would lead to two exchanges.
     """
     low, high = sorted((one, other))
     return score(key=low, name=high)
 
 
 def choose(*, key: str, names: Iterable[str], count: int) -> tuple[str, ...]:
-    """Return the ``count`` names that weigh most for ``key``, best first."""
+    """Return the ``count`` names of highest weight for ``key``, best first."""
     ranked = sorted(
         names, key=lambda name: (score(key=key, name=name), name), reverse=True
     )
--- a/marigoldramp/stragglers.py
+++ b/marigoldramp/stragglers.py
@@ -1,9 +1,9 @@
-"""Recognises a rank that is slow although its expert load is normal.
+"""Detects ranks that are slower than their expert load explains.
 
-Step time by rank is compared with what the rank's expert load explains.  A
-rank that takes longer than that has another fault (a throttled accelerator,
-a bad link).  Moving experts away from it mends only a part and would go on
-for ever, so the operator is told instead.
+The step time of each rank is compared with the time expected for its expert
+load.  A rank that takes longer has another fault, such as a throttled
+accelerator or a bad link.  Moving experts away would compensate for it only
+partly and never end, so it is reported to the operator instead.
 """
 
 import dataclasses
@@ -15,9 +15,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, kw_only=True)
 class Straggler:
-    """A finding for the operator.
+    """A slow rank, reported to the operator.
 
-    :ivar slowdown: its time over the time that its load explains.
+    :ivar slowdown: its step time over the time expected for its load.
     :ivar load: its expert load over the mean of all ranks.
     """
 
@@ -29,64 +29,70 @@
         return (
             f'rank {self.rank} takes {self.slowdown:.2f} times as long as '
             f'its expert load explains (load {self.load:.2f} of the mean); '
-            'moving experts does not mend this, look at its accelerator '
+            'moving experts does not fix this; check its accelerator '
             'and links'
         )
 
 
 class Detector:
-    """Watches the timings of all ranks of a group.
+    """Compares the step times of the ranks of a group.
 
-    :param tolerance: how much longer than explained is still normal.
-    :param needed: rounds of reports in a row before a rank is reported.
+    :param tolerance: excess over the expected time that is still normal, as
+        a fraction.
+    :param min_rounds: consecutive rounds of timings in which a rank is slow
+        before it is reported.
     """
 
-    __slots__ = ('_tolerance', '_needed', '_rounds', '_latest')
+    __slots__ = ('_tolerance', '_min_rounds', '_slow_rounds', '_latest')
 
-    def __init__(self, *, tolerance: float = 0.15, needed: int = 3) -> None:
+    def __init__(
+        self, *, tolerance: float = 0.15, min_rounds: int = 3
+    ) -> None:
         self._tolerance = tolerance
-        self._needed = needed
-        self._rounds: dict[int, int] = {}
+        self._min_rounds = min_rounds
+        self._slow_rounds: dict[int, int] = {}
         self._latest: dict[int, Straggler] = {}
 
     def take(self, timings: Sequence[popularity.RankTiming]) -> None:
-        """Judge one round of timings of all ranks."""
-        steady = [one for one in timings if one.steps and one.tokens > 0]
-        if len(steady) < 3:
+        """Process one round of timings of all ranks."""
+        usable = [
+            timing for timing in timings if timing.steps and timing.tokens > 0
+        ]
+        if len(usable) < 3:
             return
-        loads = [one.tokens / one.steps for one in steady]
-        times = [one.busy_seconds / one.steps for one in steady]
+        loads = [timing.tokens / timing.steps for timing in usable]
+        times = [timing.busy_seconds / timing.steps for timing in usable]
         mean = sum(loads) / len(loads)
-        slope, base = fit(loads=loads, times=times)
-        for timing, load, time in zip(steady, loads, times):
-            explained = base + slope * load
-            slowdown = time / explained if explained > 0 else 1.0
-            self._judge(timing.rank, slowdown, load / mean)
+        slope, intercept = fit_line(loads=loads, times=times)
+        for timing, load, time in zip(usable, loads, times):
+            expected = intercept + slope * load
+            slowdown = time / expected if expected > 0 else 1.0
+            self._update_rank(timing.rank, slowdown, load / mean)
 
-    def _judge(self, rank: int, slowdown: float, load: float) -> None:
+    def _update_rank(self, rank: int, slowdown: float, load: float) -> None:
         if slowdown <= 1.0 + self._tolerance:
-            self._rounds.pop(rank, None)
+            self._slow_rounds.pop(rank, None)
             self._latest.pop(rank, None)
             return
-        self._rounds[rank] = self._rounds.get(rank, 0) + 1
+        self._slow_rounds[rank] = self._slow_rounds.get(rank, 0) + 1
         self._latest[rank] = Straggler(rank=rank, slowdown=slowdown, load=load)
 
     def findings(self) -> tuple[Straggler, ...]:
-        """Return the ranks that are slow for no reason of their load."""
+        """Return the ranks whose slowness their load does not explain."""
         return tuple(
             self._latest[rank]
-            for rank, rounds in sorted(self._rounds.items())
-            if rounds >= self._needed
+            for rank, rounds in sorted(self._slow_rounds.items())
+            if rounds >= self._min_rounds
         )
 
 
-def fit(
+def fit_line(
     *, loads: Sequence[float], times: Sequence[float]
 ) -> tuple[float, float]:
-    """Return slope and base of the time over the load.
+    """Return slope and intercept of the step time over the load.
 
-    Medians of the pairs' slopes (Theil and Sen): a least-squares line would
-    be drawn towards the straggler and half hide it.
+    The Theil-Sen estimator takes the median of the slopes of all pairs; a
+    least-squares line would follow the straggler and partly hide it.
     """
     slopes = [
         (times[one] - times[other]) / (loads[one] - loads[other])
@@ -95,7 +101,7 @@
         if loads[one] != loads[other]
     ]
     slope = max(statistics.median(slopes), 0.0) if slopes else 0.0
-    base = statistics.median(
+    intercept = statistics.median(
         time - slope * load for load, time in zip(loads, times)
     )
-    return slope, base
+    return slope, intercept
--- a/tests/test_layer_moves.py
+++ b/tests/test_layer_moves.py
@@ -66,7 +66,7 @@
             [6, 5, 1, 2, 2, 2],
             3,
             layer_moves.Swap(
-                first=0, first_expert=1, second=1, second_expert=3
+                first_rank=0, first_expert=1, second_rank=1, second_expert=3
             ),
         ),
         (
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -61,7 +61,7 @@
     return planner.Planner(group=GROUP, collect=collect, clock=clock)
 
 
-async def ask(plans, slack=10.0):
+async def ask(group_planner, slack=10.0):
     client = map_client.GroupClient(
         group='g', leader='l', fence=1, agents=tuple, transport=None
     )
@@ -71,18 +71,18 @@
         incarnation=1,
         slack=slack,
     )
-    return await plans.plan(expert_map=FIRST, client=client)
+    return await group_planner.plan(expert_map=FIRST, client=client)
 
 
 async def test_plans_once_an_interval():
     clock = Clock()
-    plans = make_planner(clock)
-    assert await ask(plans) is None
+    group_planner = make_planner(clock)
+    assert await ask(group_planner) is None
     clock.now = 30.0
-    plan = await ask(plans)
+    plan = await ask(group_planner)
     assert plan is not None
     assert plan.layers != FIRST.layers
-    assert await ask(plans) is None
+    assert await ask(group_planner) is None
 
 
 async def test_change_waits_for_promised_deadlines():
@@ -93,18 +93,20 @@
     Cause: the change was weighed by its skew only.
     """
     clock = Clock()
-    plans = make_planner(clock)
+    group_planner = make_planner(clock)
     clock.now = 30.0
-    assert await ask(plans, slack=0.01) is None
-    assert plans.outlook == placement.Stay(reason=planner.NO_SLACK)
+    assert await ask(group_planner, slack=0.01) is None
+    assert group_planner.last_decision == placement.Stay(
+        reason=planner.NO_SLACK_REASON
+    )
     clock.now = 35.0
-    assert await ask(plans) is not None
+    assert await ask(group_planner) is not None
 
 
 async def test_straggler_is_a_finding():
     clock = Clock()
-    plans = make_planner(clock, slow_rank=2)
+    group_planner = make_planner(clock, slow_rank=2)
     for interval in range(1, 4):
         clock.now = 30.0 * interval
-        await ask(plans)
-    assert [one.rank for one in plans.findings()] == [2]
+        await ask(group_planner)
+    assert [one.rank for one in group_planner.findings()] == [2]
--- a/tests/test_popularity.py
+++ b/tests/test_popularity.py
@@ -108,7 +108,7 @@
     ids=['loaded-rank', 'slow-rank', 'even-loads'],
 )
 def test_straggler_is_told_from_a_loaded_rank(loads, slow_rank, found):
-    detector = stragglers.Detector(needed=2)
+    detector = stragglers.Detector(min_rounds=2)
     detector.take(make_timings(loads, slow_rank))
     assert detector.findings() == ()
     detector.take(make_timings(loads, slow_rank))
