--- a/marigoldramp/demands.py
+++ b/marigoldramp/demands.py
@@ -104,10 +104,10 @@
 
     def hears(self, peer: str) -> bool:
         """Return whether the usage of a peer is fresh."""
-        heard = self._peer_usages.get(peer)
-        if heard is None:
+        usage = self._peer_usages.get(peer)
+        if usage is None:
             return False
-        return self._clock() - heard.received_at <= MAX_USAGE_AGE_SECONDS
+        return self._clock() - usage.received_at <= MAX_USAGE_AGE_SECONDS
 
     def publish(self, asked: Sequence[Asked]) -> list[Report]:
         """Return the reports for the peers.
@@ -129,7 +129,7 @@
                 if peer != self._entry:
                     demands_by_peer.setdefault(peer, []).append(demand)
         self._add_answers(
-            demands_by_peer, known={one.customer for one in asked}
+            demands_by_peer, known_customers={one.customer for one in asked}
         )
         return [
             Report(
@@ -150,18 +150,18 @@
         self,
         demands_by_peer: dict[str, list[messages.Demand]],
         *,
-        known: set[str],
+        known_customers: set[str],
     ) -> None:
         """Report no demand for peers' customers that are unknown here.
 
         Without such an answer a peer could not use this entry's part of the
         limit, which a customer that uses only one entry would lose.
         """
-        for peer, heard in self._peer_usages.items():
+        for peer, usage in self._peer_usages.items():
             if not self.hears(peer):
                 continue
-            for customer, fraction in heard.demands.items():
-                if fraction > 0.0 and customer not in known:
+            for customer, fraction in usage.demands.items():
+                if fraction > 0.0 and customer not in known_customers:
                     demand = self._publish_demand(
                         customer=customer, fraction=0.0
                     )
@@ -199,12 +199,12 @@
         for peer in serving:
             if peer == self._entry:
                 continue
-            heard = self._peer_usages.get(peer)
-            if heard is None or not heard.hears or not self.hears(peer):
+            usage = self._peer_usages.get(peer)
+            if usage is None or not usage.hears or not self.hears(peer):
                 return equal
-            if customer not in heard.demands:
+            if customer not in usage.demands:
                 return equal
-            total += heard.demands[customer]
+            total += usage.demands[customer]
         if total <= 0.0:
             return equal
         return (
--- a/marigoldramp/evacuation.py
+++ b/marigoldramp/evacuation.py
@@ -1,9 +1,10 @@
 """Moves the experts of one layer away from slow ranks.
 
-All ranks of a group run each forward pass together, so one slow rank slows
-down every pass.  A move search that counts only loads does not detect it, and
-one that weights the loads would still place experts there.  So the experts of
-slow ranks are moved before the search, as far as other ranks have slots.
+All ranks of a group run each forward pass together, so one slow rank makes
+every pass as slow as itself.  A move search that counts only loads does not
+detect it, and one that weights the loads would still give the slow rank a
+part.  So its experts are moved before the search, as far as other ranks have
+slots.
 """
 
 from typing import Collection
--- a/marigoldramp/placement.py
+++ b/marigoldramp/placement.py
@@ -70,8 +70,9 @@
     async def begin_interval(self, *, situation: Situation) -> Proposal | Stay:
         """Decide at the beginning of an interval.
 
-        Implementations yield to the event loop (``await anyio.sleep(0)``) at
-        least once per layer, as heartbeats run in the same process.
+        Implementations must yield to the event loop
+        (``await anyio.sleep(0)``) at least once per layer, as heartbeats run
+        in the same process.
         """
 
     def end_change(self, *, done: bool) -> None:
--- a/marigoldramp/planner.py
+++ b/marigoldramp/planner.py
@@ -1,4 +1,4 @@
-"""Plans the expert map changes of a group; runs in the group's leader."""
+"""Plans the expert map changes of a group while this process leads it."""
 
 import dataclasses
 from typing import Any
@@ -122,9 +122,9 @@
     ) -> placement.Proposal | placement.Stay:
         """Ask the policy for a change that may begin now.
 
-        If calls in flight have no slack, the leader retries on every check
-        of the group instead of once per interval: with some call always
-        close to its deadline, a single try per interval might never succeed.
+        While calls in flight have no slack, the policy is asked on every
+        check of the group instead of once per interval: if some call is
+        always close to its deadline, no change would ever begin otherwise.
         """
         max_loads = placement.most_loads(group=self._group, slack=slack())
         if not max_loads:
--- a/tests/test_demands.py
+++ b/tests/test_demands.py
@@ -1,4 +1,4 @@
-"""Tests of shares that follow where a customer's calls arrive."""
+"""Tests of the division of a customer's limits by demand."""
 
 import hypothesis
 from hypothesis import strategies
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """A clock that tests set."""
+    """A clock whose time the tests set."""
 
     def __init__(self):
         self.now = 0.0
@@ -21,7 +21,7 @@
 
 
 class Site:
-    """Entries and the datagrams between them."""
+    """A set of entries that exchange datagrams."""
 
     def __init__(self, *, entries=SERVING):
         self.clock = Clock()
@@ -31,13 +31,13 @@
             for entry in entries
         }
 
-    def publish(self, entry, *, asked=True, deaf=()):
+    def publish(self, entry, *, known=True, unreachable=()):
         one = demands.Asked(
             customer='c',
             fraction=self.fractions[entry],
             serving=tuple(self.demands),
         )
-        reports = self.demands[entry].publish([one] if asked else [])
+        reports = self.demands[entry].publish([one] if known else [])
         for report in reports:
             usage = messages.Usage(
                 entry=entry,
@@ -47,16 +47,16 @@
                 hears=report.hears,
                 demands=report.demands,
             )
-            if report.peer not in deaf:
+            if report.peer not in unreachable:
                 self.demands[report.peer].note(usage)
         return reports
 
-    def exchange(self, *, rounds=3, deaf=()):
-        """Let all publish; what the deaf are sent is lost."""
+    def exchange(self, *, rounds=3, unreachable=()):
+        """Let all entries publish; datagrams to unreachable ones are lost."""
         for _ in range(rounds):
             self.clock.now += demands.PUBLISH_SECONDS
             for entry in self.demands:
-                self.publish(entry, deaf=deaf)
+                self.publish(entry, unreachable=unreachable)
 
     def shares(self):
         return [
@@ -72,7 +72,7 @@
         ((1.5, 0.5), [0.725, 0.275]),
         ((0.1, 0.1), [0.5, 0.5]),
     ],
-    ids=['one-entry', 'skewed', 'nobody-presses'],
+    ids=['one-entry', 'skewed', 'low-demand'],
 )
 def test_shares_follow_demand(fractions, shares):
     site = Site()
@@ -81,18 +81,18 @@
     assert site.shares() == pytest.approx(shares)
 
 
-def test_customers_that_do_not_press_cause_no_datagram():
+def test_customers_far_below_share_cause_no_datagram():
     site = Site()
     site.fractions['one'] = 0.2
     assert site.publish('one') == []
 
 
-def test_datagrams_stop_when_nobody_presses():
+def test_datagrams_stop_when_demand_stops():
     """Two entries must not keep answering each other.
 
-    Symptom: datagrams about customers that ask for nothing any more.
-    Sequence: a customer presses at one entry, both report, it stops.
-    Cause: a report that only answers another one counted as a cause.
+    A customer has high demand at one entry, both entries report it, and the
+    demand stops.  If a report that only answers another one led to a report,
+    datagrams about the customer would never stop.
     """
     site = Site()
     site.fractions['one'] = 2.0
@@ -102,45 +102,44 @@
     assert [site.publish(entry) for entry in SERVING] == [[], []]
 
 
-def test_an_entry_without_calls_answers_too():
-    """A customer that keeps to one entry must get the other one's part.
+def test_entry_without_calls_answers():
+    """A customer that uses only one entry must get nearly its whole limit.
 
-    Symptom: a customer whose callers use one address gets half its limit.
-    Sequence: it presses at one entry; the other has no state of it.
-    Cause: an entry told peers only of customers that it had state of.
+    It got half of it: the other entry had no state of the customer, and
+    entries reported only customers of which they had state.
     """
     site = Site()
     site.fractions['one'] = 2.0
     for _ in range(3):
         site.clock.now += demands.PUBLISH_SECONDS
         site.publish('one')
-        site.publish('two', asked=False)
+        site.publish('two', known=False)
     assert site.shares() == pytest.approx([0.95, 0.05])
 
 
-def test_an_entry_that_does_not_serve_has_no_share():
+def test_entry_that_does_not_serve_has_no_share():
     site = Site()
     assert site.demands['one'].share(customer='c', serving=('two',)) == 0.0
 
 
-@pytest.mark.parametrize('deaf', [('two',), SERVING])
-def test_unheard_entries_fall_back_to_equal_shares(deaf):
-    """A cut link must not let two entries use the same part of a limit.
+@pytest.mark.parametrize('unreachable', [('two',), SERVING])
+def test_lost_datagrams_lead_to_equal_shares(unreachable):
+    """Lost datagrams must not let two entries use the same part of a limit.
 
-    Symptom: a customer gets more than its limit for minutes.
-    Sequence: datagrams stop in one direction; demand then moves.
-    Cause: one entry follows figures that the other has never seen.
+    A customer got more than its limit for minutes after datagrams stopped in
+    one direction and its demand moved: one entry computed its share from
+    demands that the other had never received.
     """
     site = Site()
     site.fractions.update(one=2.0, two=0.0)
     site.exchange()
     assert site.shares() == pytest.approx([0.95, 0.05])
     site.fractions.update(one=2.0, two=0.3)
-    site.exchange(rounds=5, deaf=deaf)
+    site.exchange(rounds=5, unreachable=unreachable)
     assert sum(site.shares()) <= 1.0 + 1e-9
 
 
-def test_peers_are_bounded():
+def test_number_of_peers_is_bounded():
     one = demands.Demands(entry='one', clock=Clock(), most_peers=3)
     for number in range(9):
         one.note(
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Tests of taking experts away from slow ranks."""
+"""Tests of moving experts away from slow ranks."""
 
 import hypothesis
 from hypothesis import strategies
@@ -23,35 +23,35 @@
     ('layer', 'slow', 'expected'),
     [
         (((0, 1), (2, 3)), (), ((0, 1), (2, 3))),
-        # A replica elsewhere is enough.
+        # The experts have replicas on a normal rank.
         (((0, 1), (0, 1, 2)), (0,), ((), (0, 1, 2))),
-        # One that is nowhere else is copied to a free place.
+        # The only replica is copied to a free slot.
         (((0,), (1, 2), (3,)), (0,), ((), (1, 2), (0, 3))),
-        # Or takes the place of a replica that is missed least.
+        # The only replica takes the slot of the least popular replica.
         (((0,), (1, 2, 3), (1, 2, 3)), (0,), ((), (0, 2, 3), (1, 2, 3))),
-        # Two slow ranks.
+        # There are two slow ranks.
         (((0,), (1,), (2,)), (0, 1), ((), (), (0, 1, 2))),
     ],
 )
 def test_slow_ranks_are_emptied(layer, slow, expected):
-    """One slow rank makes each pass of its group as slow as itself."""
+    """One slow rank slows down every forward pass of its group."""
     assert empty(layer, slow) == expected
 
 
 @pytest.mark.parametrize(
-    ('options', 'left'),
+    ('options', 'remaining'),
     [
         ({'most_new': 1}, 1),
         ({'slots': 2}, 2),
         ({'most_new': 0}, 2),
     ],
 )
-def test_what_finds_no_place_stays(options, left):
+def test_experts_without_free_slot_stay(options, remaining):
     layer = empty(((0, 1), (2, 3)), (0,), **options)
-    assert len(layer[0]) == left
+    assert len(layer[0]) == remaining
 
 
-def test_most_popular_experts_go_first():
+def test_most_popular_experts_move_first():
     layer = empty(
         ((0, 1), (2, 3)), (0,), most_new=1, popularity=[1.0, 5.0, 1.0, 1.0]
     )
--- a/tests/test_layer_moves.py
+++ b/tests/test_layer_moves.py
@@ -1,4 +1,4 @@
-"""Tests of the search for moves within a layer."""
+"""Tests of the search for expert moves within a layer."""
 
 import hypothesis
 from hypothesis import strategies
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ('layer', 'popularity', 'slots', 'wanted'),
+    ('layer', 'popularity', 'slots', 'expected'),
     [
         (
             ((0, 1, 2), (3, 4, 5)),
@@ -84,8 +84,8 @@
     ],
     ids=['swap', 'free-slot', 'replica'],
 )
-def test_best_move(layer, popularity, slots, wanted):
+def test_best_move(layer, popularity, slots, expected):
     search = layer_moves.LayerSearch(
         layer=layer, popularity=popularity, slots=slots
     )
-    assert search.find() == wanted
+    assert search.find() == expected
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of rebalancing policies and of what all of them must keep to."""
+"""Tests of rebalancing policies and of the limits that hold for all."""
 
 import random
 
@@ -85,10 +85,13 @@
 
 
 def run(policy, situation):
-    """Run a policy beside a task that wants turns, as heartbeats do."""
+    """Run a policy next to a task that counts its turns in the event loop.
+
+    Heartbeats share the event loop with policies, so a policy has to yield.
+    """
     turns = 0
 
-    async def take_turns():
+    async def count_turns():
         nonlocal turns
         while True:
             turns += 1
@@ -96,7 +99,7 @@
 
     async def decide():
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(take_turns)
+            tasks.start_soon(count_turns)
             decision = await policy.begin_interval(situation=situation)
             tasks.cancel_scope.cancel()
         return decision
@@ -107,7 +110,7 @@
 
 
 @pytest.mark.parametrize('name', ['never_move', 'incremental'])
-def test_even_load_is_left_alone(name):
+def test_even_load_is_not_rebalanced(name):
     group = make_group(slots=3)
     even = ([1 / 12] * 12,) * 2
     _, situation = make_situation(group, even)
@@ -116,7 +119,7 @@
 
 
 @pytest.mark.parametrize(('threshold', 'moves'), [(1.05, True), (3.0, False)])
-def test_threshold_decides_whether_a_layer_is_touched(threshold, moves):
+def test_only_layers_above_the_threshold_change(threshold, moves):
     group = make_group(skew_threshold=threshold)
     hot = [0.7 / 11] * 11 + [0.3]
     _, situation = make_situation(group, (hot, hot))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of the planner that a group's leader asks."""
+"""Tests of the planner of map changes in a group's leader."""
 
 import pytest
 
@@ -21,11 +21,11 @@
     slots=4,
     interval_seconds=30.0,
 )
-FIRST = expert_maps.spread(
+INITIAL_MAP = expert_maps.spread(
     shape=expert_maps.Shape(ranks=4, experts=12, layers=2, slots=4),
     version=expert_maps.Version(fence=1, number=1),
 )
-HOT = [1.0] * 11 + [8.0]
+SKEWED_COUNTS = [1.0] * 11 + [8.0]
 
 
 class Clock:
@@ -45,7 +45,7 @@
             series=1,
             sequence=sequence,
             seconds=30.0 * GROUP.ranks,
-            layers=(popularity.scale(HOT),) * 2,
+            layers=(popularity.scale(SKEWED_COUNTS),) * 2,
             timings=tuple(
                 popularity.RankTiming(
                     rank=rank,
@@ -61,7 +61,7 @@
     return planner.Planner(group=GROUP, collect=collect, clock=clock)
 
 
-async def ask(group_planner, slack=10.0):
+async def plan_change(group_planner, slack=10.0):
     client = map_client.GroupClient(
         group='g', leader='l', fence=1, agents=tuple, transport=None
     )
@@ -71,42 +71,42 @@
         incarnation=1,
         slack=slack,
     )
-    return await group_planner.plan(expert_map=FIRST, client=client)
+    return await group_planner.plan(expert_map=INITIAL_MAP, client=client)
 
 
-async def test_plans_once_an_interval():
+async def test_plans_once_per_interval():
     clock = Clock()
     group_planner = make_planner(clock)
-    assert await ask(group_planner) is None
+    assert await plan_change(group_planner) is None
     clock.now = 30.0
-    plan = await ask(group_planner)
+    plan = await plan_change(group_planner)
     assert plan is not None
-    assert plan.layers != FIRST.layers
-    assert await ask(group_planner) is None
+    assert plan.layers != INITIAL_MAP.layers
+    assert await plan_change(group_planner) is None
 
 
 async def test_change_waits_for_promised_deadlines():
-    """A map change makes a call in flight miss its deadline.
+    """A map change must not make a call in flight miss its deadline.
 
-    Sequence: the tightest call has 10 ms to spare when the interval begins,
-    and 10 s at a later look in the same interval.
-    Cause: the change was weighed by its skew only.
+    The change was judged by skew only.  Here the tightest call has 10 ms of
+    slack when the interval begins and 10 s at a later check in the same
+    interval, at which the change may begin.
     """
     clock = Clock()
     group_planner = make_planner(clock)
     clock.now = 30.0
-    assert await ask(group_planner, slack=0.01) is None
+    assert await plan_change(group_planner, slack=0.01) is None
     assert group_planner.last_decision == placement.Stay(
         reason=planner.NO_SLACK_REASON
     )
     clock.now = 35.0
-    assert await ask(group_planner) is not None
+    assert await plan_change(group_planner) is not None
 
 
-async def test_straggler_is_a_finding():
+async def test_straggler_is_reported():
     clock = Clock()
     group_planner = make_planner(clock, slow_rank=2)
     for interval in range(1, 4):
         clock.now = 30.0 * interval
-        await ask(group_planner)
+        await plan_change(group_planner)
     assert [one.rank for one in group_planner.findings()] == [2]
--- a/tests/test_popularity.py
+++ b/tests/test_popularity.py
@@ -1,12 +1,12 @@
-"""Tests of the popularity estimate and of straggler recognition."""
+"""Tests of the popularity estimate and of straggler detection."""
 
 import pytest
 
 from marigoldramp import popularity
 from marigoldramp import stragglers
 
-HOT = [8.0, 1.0, 1.0, 1.0]
-COLD = [1.0, 1.0, 1.0, 8.0]
+FIRST_EXPERT_HOT = [8.0, 1.0, 1.0, 1.0]
+LAST_EXPERT_HOT = [1.0, 1.0, 1.0, 8.0]
 
 
 def make_report(counts, sequence, series=1, seconds=30.0):
@@ -18,65 +18,75 @@
     )
 
 
-def make_estimator(**rest):
-    return popularity.Estimator(layers=1, experts=4, half_life=30.0, **rest)
+def make_estimator(**options):
+    return popularity.Estimator(layers=1, experts=4, half_life=30.0, **options)
 
 
 def test_estimate_follows_reports():
     estimator = make_estimator()
     for sequence in range(1, 12):
-        assert estimator.take(agent='a', report=make_report(HOT, sequence))
+        assert estimator.take(
+            agent='a', report=make_report(FIRST_EXPERT_HOT, sequence)
+        )
     assert estimator.estimate(0) == pytest.approx(
         [8 / 11, 1 / 11, 1 / 11, 1 / 11], abs=0.01
     )
 
 
 @pytest.mark.parametrize(
-    ('series', 'sequence', 'taken'),
+    ('series', 'sequence', 'accepted'),
     [(1, 4, True), (1, 3, False), (1, 2, False), (2, 1, True)],
-    ids=['next', 'doubled', 'overtaken', 'agent-restarted'],
+    ids=['next', 'duplicate', 'older', 'agent-restarted'],
 )
-def test_old_reports_are_dropped(series, sequence, taken):
+def test_duplicate_and_older_reports_are_dropped(series, sequence, accepted):
     estimator = make_estimator()
-    estimator.take(agent='a', report=make_report(HOT, 3))
+    estimator.take(agent='a', report=make_report(FIRST_EXPERT_HOT, 3))
     before = estimator.estimate(0)
-    report = make_report(COLD, sequence, series)
-    assert estimator.take(agent='a', report=report) == taken
-    assert (estimator.estimate(0) != before) == taken
+    report = make_report(LAST_EXPERT_HOT, sequence, series)
+    assert estimator.take(agent='a', report=report) == accepted
+    assert (estimator.estimate(0) != before) == accepted
 
 
 def test_late_report_counts_less():
     estimates = []
     for age in (0.0, 30.0):
         estimator = make_estimator(sudden=1.0)
-        estimator.take(agent='a', report=make_report(HOT, 1), age=age)
+        estimator.take(
+            agent='a', report=make_report(FIRST_EXPERT_HOT, 1), age=age
+        )
         estimates.append(estimator.estimate(0)[0])
     assert 0.25 < estimates[1] < estimates[0]
 
 
-def test_missing_agent_does_not_distort():
-    """Symptom: experts seem cold after an agent's reports were lost.
+def test_missing_agent_does_not_change_estimate():
+    """Missing reports of one agent must not make experts seem unpopular.
 
-    Sequence: two agents report the same mix; one of them stops reporting.
-    Cause: adding up counts would show the missing half as a change.
+    Two agents report the same distribution, then one stops.  An estimate that
+    adds up counts would show the missing half as a change.
     """
     estimator = make_estimator(agents=2)
     for sequence in range(1, 20):
         for agent in ('a', 'b'):
-            estimator.take(agent=agent, report=make_report(HOT, sequence))
+            estimator.take(
+                agent=agent, report=make_report(FIRST_EXPERT_HOT, sequence)
+            )
     before = estimator.estimate(0)
     for sequence in range(20, 23):
-        estimator.take(agent='a', report=make_report(HOT, sequence))
+        estimator.take(
+            agent='a', report=make_report(FIRST_EXPERT_HOT, sequence)
+        )
     assert estimator.estimate(0) == pytest.approx(before, abs=0.01)
 
 
-def test_sudden_shift_is_followed_at_once():
-    slow, quick = make_estimator(sudden=1.0), make_estimator(sudden=0.1)
-    for estimator in (slow, quick):
+def test_estimate_follows_sudden_shift_at_once():
+    slow, fast = make_estimator(sudden=1.0), make_estimator(sudden=0.1)
+    for estimator in (slow, fast):
         for sequence in range(1, 12):
-            estimator.take(agent='a', report=make_report(HOT, sequence))
-        estimator.take(agent='a', report=make_report(COLD, 12))
-    assert quick.estimate(0)[3] > 0.65 > slow.estimate(0)[3]
+            estimator.take(
+                agent='a', report=make_report(FIRST_EXPERT_HOT, sequence)
+            )
+        estimator.take(agent='a', report=make_report(LAST_EXPERT_HOT, 12))
+    assert fast.estimate(0)[3] > 0.65 > slow.estimate(0)[3]
 
 
 def test_empty_report_changes_nothing():
@@ -99,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    ('loads', 'slow_rank', 'found'),
+    ('loads', 'slow_rank', 'reported'),
     [
         ([10, 11, 9, 10, 30, 10, 12, 8], None, []),
         ([10, 11, 9, 10, 30, 10, 12, 8], 2, [2]),
@@ -107,20 +117,22 @@
     ],
     ids=['loaded-rank', 'slow-rank', 'even-loads'],
 )
-def test_straggler_is_told_from_a_loaded_rank(loads, slow_rank, found):
+def test_straggler_is_distinguished_from_loaded_rank(
+    loads, slow_rank, reported
+):
     detector = stragglers.Detector(min_rounds=2)
     detector.take(make_timings(loads, slow_rank))
     assert detector.findings() == ()
     detector.take(make_timings(loads, slow_rank))
     findings = detector.findings()
-    assert [one.rank for one in findings] == found
+    assert [one.rank for one in findings] == reported
     for one in findings:
         assert one.slowdown == pytest.approx(1.3, abs=0.02)
     detector.take(make_timings(loads))
     assert detector.findings() == ()
 
 
-def test_merged_report_adds_up_ranks():
+def test_merged_report_sums_over_ranks():
     reports = [
         popularity.Report(
             series=1,
