--- a/marigoldramp/stragglers.py
+++ b/marigoldramp/stragglers.py
@@ -29,7 +29,7 @@
         return (
             f'rank {self.rank} takes {self.slowdown:.2f} times as long as '
             f'its expert load explains (load {self.load:.2f} of the mean); '
-            'moving experts does not fix this; check its accelerator '
+            'moving experts does not mend this, look at its accelerator '
             'and links'
         )
 
