--- a/marigoldramp/demands.py
+++ b/marigoldramp/demands.py
@@ -58,7 +58,7 @@
 class Report:
     """The demands to send to one peer.
 
-    :ivar hears: whether the demands of this peer are fresh.
+    :ivar hears: whether this entry has fresh demands of the peer.
     """
 
     peer: str
@@ -152,10 +152,10 @@
         *,
         known_customers: set[str],
     ) -> None:
-        """Report no demand for peers' customers that are unknown here.
+        """Add a demand of 0 for customers that only a peer knows.
 
-        Without such an answer a peer could not use this entry's part of the
-        limit, which a customer that uses only one entry would lose.
+        Without such an answer the peer could not use this entry's part of
+        the limit, and a customer that uses only one entry would lose it.
         """
         for peer, usage in self._peer_usages.items():
             if not self.hears(peer):
--- a/marigoldramp/evacuation.py
+++ b/marigoldramp/evacuation.py
@@ -2,9 +2,9 @@
 
 All ranks of a group run each forward pass together, so one slow rank makes
 every pass as slow as itself.  A move search that counts only loads does not
-detect it, and one that weights the loads would still give the slow rank a
-part.  So its experts are moved before the search, as far as other ranks have
-slots.
+detect a slow rank, and one that weights the loads would still give it a part
+of them.  So its experts are moved away before the search, as far as other
+ranks have room.
 """
 
 from typing import Collection
@@ -106,8 +106,8 @@
     def _ensure_free_slot(self, rank: int) -> bool:
         """Free a slot if needed by removing the least popular replica.
 
-        Return whether the rank has a free slot.  Only experts that another
-        normal rank holds, and that were there at the start, are removed.
+        Return whether the rank has a free slot.  Only an expert that the
+        rank held at the start and that another normal rank holds is removed.
         """
         held = self._experts_by_rank[rank]
         if len(held) < self._slots:
--- a/marigoldramp/layer_moves.py
+++ b/marigoldramp/layer_moves.py
@@ -23,6 +23,7 @@
     old: int | None
     new: int
 
+    #: Number of weight loads that the move needs.
     loads = 1
 
 
@@ -35,6 +36,7 @@
     second_rank: int
     second_expert: int
 
+    #: Number of weight loads that the move needs.
     loads = 2
 
 
@@ -49,13 +51,14 @@
     :param most_others: maximum number of target ranks, least loaded first;
         ``None`` for no limit.  Without a limit, a search over many ranks
         spends nearly all of its time on targets that gain little.
-    :param most_new: maximum number of experts on a rank at the end that it
-        did not hold at the start, one limit for all ranks or one for each;
-        ``None`` for no limit.
+    :param most_new: maximum number of new experts on a rank, which are those
+        that it did not hold at the start; one number for all ranks or one
+        for each rank; ``None`` for no limit.
     :param copies_left: number of new experts that each rank may still copy
         in all layers together.  The searches of all layers share this list
-        and update it.
-    :param first: the layer at the start if it differs from ``layer``.
+        and update it.  Enforced only if ``most_new`` is given.
+    :param first: the layer at the start, from which new experts are counted,
+        if it differs from ``layer``.
     :param closed: ranks excluded from the search: slow ranks that were
         emptied.
     """
@@ -116,7 +119,7 @@
 
     @property
     def skew(self) -> float:
-        """Return the largest load over the mean of the active ranks."""
+        """Return the ratio of the largest to the mean load of active ranks."""
         return expert_maps.skew(
             [self.loads[rank] for rank in self._active_ranks]
         )
@@ -128,10 +131,10 @@
     def find(self) -> Move | None:
         """Return the move with the largest gain per weight load, if any.
 
-        The gain is the decrease of the excess load, which is the sum over
-        ranks of the squared load above the mean.  Unlike the largest load,
-        it also falls when only one of several equally loaded ranks is
-        relieved.
+        The gain is the decrease of the excess load.  The excess load is the
+        sum over ranks of the square of the load that exceeds the mean.
+        Unlike the largest load, it also falls when only one of several
+        equally loaded ranks is relieved.
         """
         mean = sum(self.loads) / len(self._active_ranks)
         hot_rank = max(self._active_ranks, key=self.loads.__getitem__)
@@ -172,6 +175,7 @@
     def _generate_pair_moves(
         self, hot_rank: int, expert: int, rank: int
     ) -> Iterator[Move]:
+        """Generate the moves that put an expert of the hot rank on a rank."""
         if len(self._experts_by_rank[rank]) < self._slots:
             yield Replacement(rank=rank, old=None, new=expert)
         for other in self._experts_by_rank[rank]:
@@ -234,6 +238,7 @@
     def _add_replica_changes(
         self, changes: dict[int, float], expert: int, rank: int
     ) -> None:
+        """Add the load changes of copying an expert to a rank."""
         holders = self._holders[expert]
         replica_load = self._popularity[expert] / (len(holders) + 1)
         change = replica_load - self._replica_loads[expert]
@@ -244,6 +249,7 @@
     def _remove_replica_changes(
         self, changes: dict[int, float], expert: int, rank: int
     ) -> None:
+        """Add the load changes of removing an expert from a rank."""
         holders = self._holders[expert]
         replica_load = self._replica_loads[expert]
         increase = self._popularity[expert] / (len(holders) - 1) - replica_load
@@ -255,8 +261,8 @@
     def _compute_gain(self, move: Move, hot_rank: int, mean: float) -> float:
         """Return the decrease of the excess load; negative if it grows.
 
-        A move that loads another rank as much as the most loaded one is
-        rejected by a negative gain.
+        The gain is -1 if another rank would get at least the load that the
+        most loaded rank has now.
         """
         limit = self.loads[hot_rank]
         if isinstance(move, Swap):
--- a/marigoldramp/placement.py
+++ b/marigoldramp/placement.py
@@ -1,9 +1,9 @@
 """Rebalancing policies: plug-ins that decide when to move which experts.
 
 A policy gets the current expert map, the estimated popularity of the experts
-and a limit of weight loads, and proposes a map.  The limits that hold for
-every policy, of weight loads and of the delay for promised deadlines of calls
-in flight, are checked here, outside the policies.
+and a limit of weight loads, and proposes a map.  Two limits hold for every
+policy and are checked here, outside the policies: the number of weight loads,
+and the promised deadlines of calls in flight.
 """
 
 import abc
@@ -93,7 +93,7 @@
     load_slowdown: float = 0.03
 
     def predict(self, *, load_seconds: float) -> float:
-        """Return the maximum delay of a call in flight by a change."""
+        """Return by how many seconds a change can delay a call in flight."""
         return self.stall_seconds + self.load_slowdown * load_seconds
 
 
@@ -151,11 +151,11 @@
     """Return the maximum number of weight loads in one interval.
 
     The rate of the weight store is a hard limit: loads that take longer than
-    the interval would queue up.  The slack is another: a result of 0 means
-    that no change may begin now.
+    the interval would queue up.  The slack is a hard limit too: a result of 0
+    means that no change may begin now.
 
-    :param slack: seconds by which the call in flight that is closest to its
-        promised deadline can be delayed without missing it.
+    :param slack: seconds by which all calls in flight can be delayed without
+        missing a promised deadline.
     """
     seconds_per_load = load_seconds(group=group, loads=1)
     max_loads = min(
@@ -178,10 +178,10 @@
     disruption: Disruption,
     slack: Callable[[], float],
 ) -> Proposal | Stay:
-    """Return the proposal if it may begin now, otherwise the reason.
+    """Return the proposal if it may begin now, or a ``Stay`` if not.
 
-    :param slack: returns the seconds by which the call in flight that is
-        closest to its promised deadline can be delayed without missing it.
+    :param slack: returns the seconds by which all calls in flight can be
+        delayed without missing a promised deadline.
     """
     max_loads = situation.most_loads
     if proposal.loads > max_loads:
--- a/marigoldramp/planner.py
+++ b/marigoldramp/planner.py
@@ -15,15 +15,15 @@
 from . import popularity
 from . import stragglers
 
-#: Weight loads are abandoned after this multiple of their expected time
-#: plus the minimum.
+#: Weight loads are abandoned after the minimum timeout plus this multiple of
+#: their expected time.
 LOAD_TIMEOUT_FACTOR = 4.0
 #: Timeout that even the smallest load gets.
 MIN_LOAD_TIMEOUT_SECONDS = 5.0
 
-#: Decay of old reports in the popularity estimate.  The many tokens of one
-#: interval leave little noise to average, and an estimate that lags behind
-#: the traffic causes skew.
+#: Half-lives of the popularity estimate in one interval.  Old reports decay
+#: fast because the many tokens of one interval leave little noise to average
+#: out, and an estimate that lags behind the traffic causes skew.
 HALF_LIVES_PER_INTERVAL = 2.0
 
 #: Reason reported while a call in flight is close to its deadline.
@@ -122,9 +122,9 @@
     ) -> placement.Proposal | placement.Stay:
         """Ask the policy for a change that may begin now.
 
-        While calls in flight have no slack, the policy is asked on every
-        check of the group instead of once per interval: if some call is
-        always close to its deadline, no change would ever begin otherwise.
+        While calls in flight have no slack, this is tried again on every
+        check of the group.  With one try per interval, no change would ever
+        begin in a group that always has a call close to its deadline.
         """
         max_loads = placement.most_loads(group=self._group, slack=slack())
         if not max_loads:
--- a/marigoldramp/popularity.py
+++ b/marigoldramp/popularity.py
@@ -47,7 +47,8 @@
     """A report of one agent.
 
     :ivar series: incarnation number of the agent process.
-    :ivar sequence: number of the report in its series.
+    :ivar sequence: number of the report, which increases by one with each
+        report of the series.
     :ivar seconds: time covered by the report, summed over its ranks.
     """
 
@@ -71,8 +72,8 @@
 def merge(*, reports: Sequence[Report], series: int, sequence: int) -> Report:
     """Merge the reports of an agent's ranks into one report.
 
-    With 64 ranks and 61 layers, reports per rank would send half a megabyte
-    per interval to the leader; reports per agent send 70 KB.
+    With 64 ranks and 61 layers, the leader would receive half a megabyte per
+    interval if each rank sent a report; one report per agent makes it 70 KB.
     """
     layers: list[LayerCounts] = []
     for layer_counts in zip(*(report.layers for report in reports)):
@@ -105,8 +106,9 @@
 
     :param half_life: half-life of the slow average, in seconds covered by
         reports; that of the fast average is a quarter.
-    :param agents: number of reports that cover the same time; the number of
-        ranks if reports sum their seconds over ranks.
+    :param agents: number of reports that cover the same time, by which the
+        seconds of each report are divided; the number of ranks if reports
+        sum their seconds over ranks.
     :param sudden: distance between the two averages above which the fast
         one is used, see ``distance``.
     """
@@ -119,6 +121,7 @@
         'agents',
     )
 
+    #: Half-life of the slow average over that of the fast one.
     FAST_SPEEDUP = 4.0
 
     def __init__(
@@ -146,8 +149,8 @@
         """Update the estimates by a report; return whether it was new.
 
         Duplicate reports and reports older than the latest one are dropped.
-        A report that is ``age`` seconds late has the lower weight to which
-        it would have decayed by now if it had arrived in time.
+        A late report gets the weight to which it would have decayed by now
+        if it had arrived in time.
 
         :param age: seconds from the end of the report's period until now.
         """
--- a/marigoldramp/stragglers.py
+++ b/marigoldramp/stragglers.py
@@ -2,8 +2,9 @@
 
 The step time of each rank is compared with the time expected for its expert
 load.  A rank that takes longer has another fault, such as a throttled
-accelerator or a bad link.  Moving experts away would compensate for it only
-partly and never end, so it is reported to the operator instead.
+accelerator or a bad link.  Moving experts away would compensate for the fault
+only in part and would go on forever, so the rank is reported to the operator
+instead.
 """
 
 import dataclasses
--- a/tests/test_demands.py
+++ b/tests/test_demands.py
@@ -105,8 +105,8 @@
 def test_entry_without_calls_answers():
     """A customer that uses only one entry must get nearly its whole limit.
 
-    It got half of it: the other entry had no state of the customer, and
-    entries reported only customers of which they had state.
+    Such a customer got half of its limit: the other entry had no state of it,
+    and entries reported only customers of which they had state.
     """
     site = Site()
     site.fractions['one'] = 2.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -47,10 +47,12 @@
 
 
 def draw_popularity(group, seed, spread=1.0):
-    drawn = random.Random(seed)
+    generator = random.Random(seed)
     rows = []
     for _ in range(group.layers):
-        row = [drawn.lognormvariate(0, spread) for _ in range(group.experts)]
+        row = [
+            generator.lognormvariate(0, spread) for _ in range(group.experts)
+        ]
         rows.append([one / sum(row) for one in row])
     return tuple(rows)
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -88,9 +88,9 @@
 async def test_change_waits_for_promised_deadlines():
     """A map change must not make a call in flight miss its deadline.
 
-    The change was judged by skew only.  Here the tightest call has 10 ms of
-    slack when the interval begins and 10 s at a later check in the same
-    interval, at which the change may begin.
+    It did when changes were judged by skew only.  Here the call closest to
+    its deadline has 10 ms of slack when the interval begins.  At a later
+    check in the same interval it has 10 s, and the change may begin.
     """
     clock = Clock()
     group_planner = make_planner(clock)
